--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -1,43 +1,43 @@
-//! The ready workers as rankings need them, and sums over them, all kept up by what changes.
+//! Indexes of the ready and the cold workers for rankings, and sums over them, updated incrementally.
 use crate::interface::{Ms, WorkerId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Least weight that a worker is ranked with.
-const LEAST_WEIGHT: f64 = 0.01;
-/// Greatest weight that counts: sums over workers stay far from what numbers can hold.
-pub(crate) const GREATEST_WEIGHT: f64 = 1e9;
-/// Changes that are remembered; a ranking that is further behind is made anew.
-const REMEMBERED_CHANGES: usize = 1024;
+/// Lowest weight that a worker is ranked with.
+const MIN_WEIGHT: f64 = 0.01;
+/// Highest weight of a worker, so that sums over workers can't overflow.
+pub(crate) const MAX_WEIGHT: f64 = 1e9;
+/// Number of changes remembered; a ranking that lags by more is rebuilt.
+const MAX_REMEMBERED_CHANGES: usize = 1024;
 
-/// What ranks a ready worker.
+/// The data by which a ready worker is ranked.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct RankedWorker {
     pub id: WorkerId,
-    /// Of its name: the same at every front end.
+    /// Hash of its name: the same at every invoker.
     pub hash: u64,
     pub weight: f64,
 }
 
 impl RankedWorker {
-    /// Weight with which it is ranked.
+    /// The weight used for ranking, within bounds.
     pub fn ranking_weight(&self) -> f64 {
-        self.weight.clamp(LEAST_WEIGHT, GREATEST_WEIGHT)
+        self.weight.clamp(MIN_WEIGHT, MAX_WEIGHT)
     }
 }
 
-/// Which of the two groups a worker is in: those of the own zone are ranked ahead of all others.
+/// Whether a worker is in the invoker's own zone; workers of the own zone are ranked ahead of all others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Side {
     Own,
     Foreign,
 }
 
-/// Both groups, in the order in which they are ranked.
+/// Both sides, in the order in which they are ranked.
 pub(crate) const SIDES: [Side; 2] = [Side::Own, Side::Foreign];
 
-/// The ready workers of one group, in no order.
+/// The ready workers of one side, in no order.
 #[derive(Default)]
-pub(crate) struct Group {
+pub(crate) struct ZoneGroup {
     pub members: Vec<RankedWorker>,
     /// Sum of the ranking weights.
     pub ranking_weight: f64,
@@ -46,105 +46,105 @@
 /// The ready workers.
 #[derive(Default)]
 pub(crate) struct Fleet {
-    groups: [Group; SIDES.len()],
-    /// The group and the place in it of each ready worker.
-    places: BTreeMap<WorkerId, (Side, usize)>,
+    groups: [ZoneGroup; SIDES.len()],
+    /// The side of each ready worker and its index in that side's members.
+    positions: BTreeMap<WorkerId, (Side, usize)>,
     weight: f64,
-    /// Whose rank has changed, oldest first, and the revision before the first of them.
+    /// Workers whose rank has changed, oldest first, and the revision before the first of these changes.
     changes: VecDeque<WorkerId>,
     first_revision: u64,
 }
 
 impl Fleet {
-    /// What a worker takes here at most, in bytes: its place in a list that is at times half empty.
+    /// Highest memory of a worker here, in bytes: its element in a vector that may be half empty.
     pub const WORKER_COST: usize = 2 * std::mem::size_of::<RankedWorker>();
 
-    /// How many are ready.
+    /// Number of ready workers.
     pub fn len(&self) -> usize {
-        self.places.len()
+        self.positions.len()
     }
 
-    /// Sum of the weights.
+    /// Sum of the weights of all ready workers.
     pub fn weight(&self) -> f64 {
         self.weight
     }
 
-    /// Mean weight; 1 where none is ready.
+    /// Mean weight of the ready workers; 1 if there is none.
     pub fn mean_weight(&self) -> f64 {
-        if self.places.is_empty() {
+        if self.positions.is_empty() {
             return 1.0;
         }
-        self.weight / self.places.len() as f64
+        self.weight / self.positions.len() as f64
     }
 
-    pub fn group(&self, side: Side) -> &Group {
+    pub fn group(&self, side: Side) -> &ZoneGroup {
         &self.groups[side as usize]
     }
 
-    /// A ready worker and its group.
+    /// The side and the ranking data of a ready worker.
     pub fn get(&self, id: WorkerId) -> Option<(Side, RankedWorker)> {
-        self.places.get(&id).map(|&(side, place)| (side, self.groups[side as usize].members[place]))
+        self.positions.get(&id).map(|&(side, position)| (side, self.groups[side as usize].members[position]))
     }
 
-    /// Goes up with each change.
+    /// Number of changes so far.
     pub fn revision(&self) -> u64 {
         self.first_revision + self.changes.len() as u64
     }
 
-    /// Whose rank has changed since a revision; none where that is no longer known.
+    /// Workers whose rank has changed since a revision; `None` if these changes are no longer remembered.
     pub fn changed_since(&self, revision: u64) -> Option<impl Iterator<Item = WorkerId> + '_> {
         let known = revision.checked_sub(self.first_revision)?;
         Some(self.changes.iter().skip(known as usize).copied())
     }
 
-    /// A worker is ready, with this rank.
+    /// Inserts or updates a ready worker.
     pub fn set(&mut self, side: Side, worker: RankedWorker) {
         if self.get(worker.id) == Some((side, worker)) {
             return;
         }
-        self.take_out(worker.id);
+        self.remove_member(worker.id);
         let group = &mut self.groups[side as usize];
-        self.places.insert(worker.id, (side, group.members.len()));
+        self.positions.insert(worker.id, (side, group.members.len()));
         group.members.push(worker);
         group.ranking_weight += worker.ranking_weight();
         self.weight += worker.weight;
-        self.note_change(worker.id);
+        self.record_change(worker.id);
     }
 
-    /// A worker is not ready any more.
+    /// Removes a worker that is no longer ready.
     pub fn remove(&mut self, id: WorkerId) {
-        if self.take_out(id) {
-            self.note_change(id);
+        if self.remove_member(id) {
+            self.record_change(id);
         }
     }
 
-    fn take_out(&mut self, id: WorkerId) -> bool {
-        let Some((side, place)) = self.places.remove(&id) else { return false };
+    fn remove_member(&mut self, id: WorkerId) -> bool {
+        let Some((side, position)) = self.positions.remove(&id) else { return false };
         let group = &mut self.groups[side as usize];
-        let worker = group.members.swap_remove(place);
+        let worker = group.members.swap_remove(position);
         group.ranking_weight -= worker.ranking_weight();
         self.weight -= worker.weight;
-        if let Some(moved) = group.members.get(place) {
-            self.places.insert(moved.id, (side, place));
+        if let Some(moved) = group.members.get(position) {
+            self.positions.insert(moved.id, (side, position));
         }
         if group.members.is_empty() {
             group.ranking_weight = 0.0;
         }
-        if self.places.is_empty() {
+        if self.positions.is_empty() {
             self.weight = 0.0;
         }
         true
     }
 
-    fn note_change(&mut self, id: WorkerId) {
+    fn record_change(&mut self, id: WorkerId) {
         self.changes.push_back(id);
-        if self.changes.len() > REMEMBERED_CHANGES {
+        if self.changes.len() > MAX_REMEMBERED_CHANGES {
             self.changes.pop_front();
             self.first_revision += 1;
         }
     }
 
-    /// What it takes, in bytes, beside the workers themselves.
+    /// Memory of the vectors, in bytes.
     pub fn bytes(&self) -> usize {
         let members: usize = self.groups.iter().map(|group| group.members.capacity()).sum();
         members * std::mem::size_of::<RankedWorker>()
@@ -152,11 +152,11 @@
     }
 }
 
-/// The ready workers that are cold, and how warm they are together.
+/// The ready workers that are cold, with sums over their weights and ages.
 #[derive(Default)]
 pub(crate) struct ColdWorkers {
     known: BTreeMap<WorkerId, ColdWorker>,
-    /// When each is warm, in microseconds.
+    /// When each worker will be warm, in microseconds.
     ends: BTreeSet<(u64, WorkerId)>,
     weight: f64,
     /// Sum of weight times start.
@@ -171,7 +171,7 @@
 }
 
 impl ColdWorkers {
-    /// A worker is cold: it started then, and is warm after the span.
+    /// Inserts or updates a cold worker that started at `started` and is warm `span` ms later.
     pub fn set(&mut self, id: WorkerId, weight: f64, started: Ms, span: Ms) {
         self.remove(id);
         let end = ((started + span).max(0.0) * 1000.0) as u64;
@@ -181,7 +181,7 @@
         self.weighted_start += weight * started;
     }
 
-    /// A worker is warm, or not ready any more.
+    /// Removes a worker that is warm or no longer ready.
     pub fn remove(&mut self, id: WorkerId) {
         let Some(cold) = self.known.remove(&id) else { return };
         self.ends.remove(&(cold.end, id));
@@ -192,7 +192,7 @@
         }
     }
 
-    /// Takes out one that has become warm by then.
+    /// Removes and returns one worker that is warm at `now`.
     pub fn pop_warm(&mut self, now: Ms) -> Option<WorkerId> {
         let &(end, id) = self.ends.first()?;
         if end as f64 > now * 1000.0 {
@@ -206,12 +206,12 @@
         self.known.is_empty()
     }
 
-    /// Sum of their weights.
+    /// Sum of the weights of all cold workers.
     pub fn weight(&self) -> f64 {
         self.weight
     }
 
-    /// Sum of weight times age, in parts of the span after which they are warm.
+    /// Sum of weight times age, with the age as a part of the span (ms) after which a worker is warm.
     pub fn weighted_age(&self, now: Ms, span: Ms) -> f64 {
         if self.known.is_empty() || span <= 0.0 {
             return 0.0;
--- a/src/fleet/tests.rs
+++ b/src/fleet/tests.rs
@@ -4,9 +4,9 @@
 const SPAN: Ms = 4000.0;
 
 proptest! {
-    // What cold workers are worth together is the sum over each of them.
+    // The incrementally updated sums over cold workers equal the sums over each of them.
     #[test]
-    fn the_age_of_cold_workers_drifts_from_theirs(
+    fn sums_over_cold_workers_equal_those_over_each(
         starts in proptest::collection::vec((0u32..40, 0.5..4.0f64, 0.0..9000.0f64), 1..80),
         now in 9000.0..20_000.0f64,
     ) {
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn changes_are_told_from_a_revision_on_while_they_are_remembered() {
+fn changes_since_a_revision_are_listed_while_remembered() {
     let mut fleet = Fleet::default();
     let set = |fleet: &mut Fleet, id, weight| {
         fleet.set(Side::Own, RankedWorker { id: WorkerId(id), hash: 1, weight });
@@ -35,14 +35,14 @@
     set(&mut fleet, 1, 1.0);
     let revision = fleet.revision();
     set(&mut fleet, 1, 1.0);
-    assert_eq!(fleet.revision(), revision, "nothing has changed");
+    assert_eq!(fleet.revision(), revision, "an identical update is no change");
     set(&mut fleet, 2, 1.0);
     fleet.remove(WorkerId(1));
     fleet.remove(WorkerId(9));
     let changed: Vec<_> = fleet.changed_since(revision).expect("remembered").collect();
     assert_eq!(changed, [WorkerId(2), WorkerId(1)]);
-    for id in 0..2 * REMEMBERED_CHANGES as u32 {
+    for id in 0..2 * MAX_REMEMBERED_CHANGES as u32 {
         set(&mut fleet, id, 2.0);
     }
-    assert!(fleet.changed_since(revision).is_none(), "too long ago");
+    assert!(fleet.changed_since(revision).is_none(), "these changes are no longer remembered");
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,13 +1,13 @@
-//! corkbay decides, for one front end, where each call of a small model goes: which worker gets
-//! it, where a missing model is loaded, and which idle models give way. It does no I/O, owns no
-//! clock and starts no thread: the host feeds [`Event`]s in and carries [`Action`]s out.
+//! corkbay makes the decisions of one invoker: which worker gets each call of a small model, where a
+//! missing model is loaded, and which idle models are evicted. It does no I/O, has no clock of its own
+//! and starts no threads: the host passes [`Event`]s in and carries out the resulting [`Action`]s.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 mod fleet;
-mod homes;
 mod interface;
 mod policy;
+mod preferred_workers;
 mod settings;
 mod state;
 
--- a/src/policy/beliefs.rs
+++ b/src/policy/beliefs.rs
@@ -1,76 +1,84 @@
-//! What is believed of workers and models, and how news changes it.
-use super::slow_start::FIRST_CALLS;
+//! Estimates of the state of workers and models, and their updates.
+use super::slow_start::UNRESTRICTED_FIRST_CALLS;
 use super::*;
 
-/// Answers and failures remembered of a worker and class at most, so that it can be forgiven.
-const MEMORY: f64 = 4.0;
-/// What a bound is multiplied with when it proves too wide.
-pub(super) const NARROWER: f64 = 0.7;
-/// Errors in a row about a model that never stood until it counts as one that no worker knows.
-pub(super) const UNKNOWN: u32 = 3;
+/// Upper bound of the failures counted for a worker and class, so that it can recover.
+const MAX_FAILURES: f64 = 4.0;
+/// Factor by which a limit (calls at a worker, concurrent loads) is decreased.
+pub(super) const LIMIT_DECREASE_FACTOR: f64 = 0.7;
+/// Consecutive errors after which a model that was never loaded counts as unknown to all workers.
+pub(super) const UNKNOWN_MODEL_ERRORS: u32 = 3;
 
-impl Holder {
-    /// Whether its copies are believed to stand: the table ages by the keep time.
-    pub(super) fn stands(&self, now: Ms, keep: Ms) -> bool {
-        self.copies > 0 && now - self.seen < keep
+impl CopyEntry {
+    /// Whether copies are believed to be loaded: a confirmation is valid for the keep time.
+    pub(super) fn is_loaded(&self, now: Ms, keep: Ms) -> bool {
+        self.copies > 0 && now - self.confirmed_at < keep
     }
 }
 
 impl Health {
-    /// An answer or a failure, whatever its kind: errors, silence and broken connections weigh alike.
+    /// Records an answer or a failure. Errors, missing answers and broken connections weigh alike.
     pub(super) fn note(&mut self, now: Ms, keep: Ms, failed: bool) {
-        let part = 0.5f64.powf((now - self.at) / keep);
-        (self.good, self.bad, self.at) = (self.good * part, self.bad * part, now);
+        let part = 0.5f64.powf((now - self.updated_at) / keep);
+        (self.successes, self.failures, self.updated_at) = (self.successes * part, self.failures * part, now);
         if failed {
-            (self.good, self.bad) = (self.good * (1.0 - NEWEST), (self.bad + 1.0).min(MEMORY));
+            (self.successes, self.failures) =
+                (self.successes * (1.0 - NEWEST_SAMPLE_WEIGHT), (self.failures + 1.0).min(MAX_FAILURES));
         } else {
-            (self.good, self.bad) = ((self.good + 1.0).min(2.0 * MEMORY), self.bad * (1.0 - NEWEST));
-            self.heard = now;
+            (self.successes, self.failures) = (
+                (self.successes + 1.0).min(2.0 * MAX_FAILURES),
+                self.failures * (1.0 - NEWEST_SAMPLE_WEIGHT),
+            );
+            self.answered_at = now;
         }
     }
 }
 
 impl Model {
-    /// A worker answered something about it. Who lacks it says so: a model that never stood, and that only
-    /// brings errors wherever it is named, is one that no worker knows.
-    pub(super) fn told(&mut self, outcome: Outcome, stands: bool, until: Ms) {
-        self.proven |= stands;
+    /// Records a worker's answer about the model. A worker that just hasn't loaded it answers with a miss,
+    /// so a model that was never loaded and brings only errors counts as unknown to all workers.
+    pub(super) fn note_answer(&mut self, outcome: Outcome, is_loaded: bool, until: Ms) {
+        self.known_to_exist |= is_loaded;
         match outcome {
-            Outcome::Ok | Outcome::Miss | Outcome::Full => self.strange = 0,
-            Outcome::Error => self.strange += 1,
+            Outcome::Ok | Outcome::Miss | Outcome::Full => self.consecutive_errors = 0,
+            Outcome::Error => self.consecutive_errors += 1,
             _ => {}
         }
-        if self.strange >= UNKNOWN && !self.proven {
+        if self.consecutive_errors >= UNKNOWN_MODEL_ERRORS && !self.known_to_exist {
             self.unknown_until = until;
         }
     }
 }
 
 impl Worker {
-    /// Late answers from any cause (crowding, a slow core, overload) and calls given up there
-    /// narrow the worker's share of our calls, once in the time that the late one took.
-    pub(super) fn narrow(&mut self, now: Ms, took: Ms) {
-        if now > self.cut_at + took {
-            (self.limit, self.cut_at) = ((self.limit * NARROWER).max(1.0), now);
+    /// Reduces the limit of attempts in flight at the worker after a late, full or abandoned attempt, at
+    /// most once in the time `took`, so that one episode counts once.
+    pub(super) fn reduce_limit(&mut self, now: Ms, took: Ms) {
+        if now > self.limit_cut_at + took {
+            (self.in_flight_limit, self.limit_cut_at) =
+                ((self.in_flight_limit * LIMIT_DECREASE_FACTOR).max(1.0), now);
         }
     }
 
+    /// Time of its last start, as far as known: 0 for long ago.
     pub(super) fn started(&self) -> Ms {
-        self.born.max(self.broke)
+        self.born.max(self.connect_failed_at)
     }
 
-    pub(super) fn cold(&self, now: Ms, set: &Settings) -> bool {
-        self.started() > 0.0 && now < self.started() + set.cold_span
+    /// Whether the worker started recently and is still in slow start.
+    pub(super) fn cold(&self, now: Ms, settings: &Settings) -> bool {
+        self.started() > 0.0 && now < self.started() + settings.cold_span
     }
 
-    /// Whether it is looked at like any other, cold or not: no call of ours came yet, and front ends are few.
-    pub(super) fn untried(&self, set: &Settings) -> bool {
-        self.wanted.last <= 0.0 && f64::from(set.front_ends) <= FIRST_CALLS
+    /// Whether the worker is ranked at full capacity although it is cold: this invoker has had no call for
+    /// it since its start, and invokers are few.
+    pub(super) fn untried(&self, settings: &Settings) -> bool {
+        self.cold_demand.last <= 0.0 && f64::from(settings.front_ends) <= UNRESTRICTED_FIRST_CALLS
     }
 
-    /// Part of its full capacity that it has at least: all of it unless it is cold.
-    pub(super) fn warmth(&self, now: Ms, set: &Settings) -> f64 {
-        let age = if self.cold(now, set) { (now - self.started()) / set.cold_span } else { 1.0 };
-        set.cold_from + (1.0 - set.cold_from) * age.clamp(0.0, 1.0)
+    /// Present capacity of the worker as a part of its full capacity: 1 unless it is cold.
+    pub(super) fn warmth(&self, now: Ms, settings: &Settings) -> f64 {
+        let age = if self.cold(now, settings) { (now - self.started()) / settings.cold_span } else { 1.0 };
+        settings.cold_from + (1.0 - settings.cold_from) * age.clamp(0.0, 1.0)
     }
 }
--- a/src/policy/loading.rs
+++ b/src/policy/loading.rs
@@ -1,111 +1,133 @@
-//! Where a missing model is loaded, within the ration of orders, and which idle models give way.
+//! Chooses where a missing model is loaded, within the quota of load orders, and which idle models are
+//! evicted.
 use super::*;
 
 impl Dispatcher {
-    /// Asks the first home of each zone whether the model stands there, once in half a keep time: a
-    /// front end with little traffic finds what others brought. Tells whether answers are to come.
-    pub(super) fn ask(&mut self, name: ModelId, act: &mut Vec<Action>) -> bool {
-        let Some(model) = self.models.get_mut(&name) else { return false };
-        let (now, since) = (self.now, self.now - model.asked_at);
-        if model.asked_at > 0.0 && since < self.set.keep / 2.0 {
-            return model.asking > 0 && since < self.aim / TICKS_PER_AIM;
+    /// Queries the first suitable preferred worker of each zone for copies of the model, at most once per
+    /// half keep time, so that an invoker with little traffic finds copies that others had loaded. Returns
+    /// whether answers are still expected.
+    pub(super) fn query_copies(&mut self, model_id: ModelId, actions: &mut Vec<Action>) -> bool {
+        let Some(model) = self.models.get_mut(&model_id) else { return false };
+        let (now, since) = (self.now, self.now - model.queried_at);
+        if model.queried_at > 0.0 && since < self.settings.keep / 2.0 {
+            return model.open_queries > 0 && since < self.min_aim / TICKS_PER_AIM;
         }
-        (model.asked_at, model.asking) = (now, 0);
+        (model.queried_at, model.open_queries) = (now, 0);
         let mut zones = BTreeSet::new();
-        for at in model.homes.iter() {
+        for at in model.preferred.iter() {
             let Some(worker) = self.workers.get_mut(&at) else { continue };
-            let broke = worker.broke > 0.0 && now < worker.broke + self.set.fall_span;
-            let lacks = model.holders.get(&at).is_some_and(|line| line.lacks > now);
-            if worker.full_until <= now && !broke && zones.insert(worker.zone) && !lacks {
-                worker.lines.insert(name);
-                model.holders.entry(at).or_default();
-                model.asking += 1;
-                act.push(Action::Load { worker: at, model: name, copies: 0 });
+            let recently_unreachable =
+                worker.connect_failed_at > 0.0 && now < worker.connect_failed_at + self.settings.fall_span;
+            let known_absent = model.entries.get(&at).is_some_and(|entry| entry.absent_until > now);
+            if worker.full_until <= now && !recently_unreachable && zones.insert(worker.zone) && !known_absent
+            {
+                worker.known_models.insert(model_id);
+                model.entries.entry(at).or_default();
+                model.open_queries += 1;
+                actions.push(Action::Load { worker: at, model: model_id, copies: 0 });
             }
         }
-        model.asking > 0
+        model.open_queries > 0
     }
 
-    /// Whether one more load keeps the ration, which is counted where orders arrive: each within the lag.
-    pub(super) fn within_ration(&self) -> bool {
-        let (set, since, lag) = (&self.set, self.now - self.set.load_window, self.set.order_lag);
-        let allowed = set.load_free + set.load_share * self.taken.since(since + lag) as f64;
-        set.load_window <= 0.0 || self.ordered.since(since - lag) as f64 + 1.0 <= allowed
+    /// Whether one more load order keeps within the quota. The quota is counted where orders arrive, up to
+    /// `order_lag` after the decision, so orders count for longer and requests for less by that time.
+    pub(super) fn within_load_quota(&self) -> bool {
+        let (settings, since, lag) =
+            (&self.settings, self.now - self.settings.load_window, self.settings.order_lag);
+        let allowed =
+            settings.load_free + settings.load_share * self.recent_requests.since(since + lag) as f64;
+        settings.load_window <= 0.0 || self.recent_load_orders.since(since - lag) as f64 + 1.0 <= allowed
     }
 
-    /// Orders one more copy of a model held, making room by the paper's draw.
-    pub(super) fn order(&mut self, id: RequestId, name: ModelId, act: &mut Vec<Action>) {
-        let (Some(model), Some(pending)) = (self.models.get(&name), self.pending.get(&id)) else { return };
-        let under_way = self.loads.range((name, WorkerId(0))..=(name, WorkerId(u32::MAX))).count();
-        let barred = !self.set.orders || under_way >= LOADS_PER_MODEL || self.now < model.retry_at;
-        if barred || self.loads.len() as f64 >= self.loads_cap || !self.within_ration() {
+    /// Orders the load of one more copy of a model and evicts idle models to make room for it.
+    pub(super) fn order_load(&mut self, id: RequestId, model_id: ModelId, actions: &mut Vec<Action>) {
+        let (Some(model), Some(pending)) = (self.models.get(&model_id), self.pending.get(&id)) else {
+            return;
+        };
+        let under_way =
+            self.loads_in_progress.range((model_id, WorkerId(0))..=(model_id, WorkerId(u32::MAX))).count();
+        let is_blocked =
+            !self.settings.orders || under_way >= MAX_LOADS_PER_MODEL || self.now < model.load_retry_at;
+        if is_blocked
+            || self.loads_in_progress.len() as f64 >= self.max_concurrent_loads
+            || !self.within_load_quota()
+        {
             return;
         }
         let class = pending.request.class;
-        let shut = |id: &WorkerId, worker: &Worker| {
-            let stands = model.holders.get(id).is_some_and(|line| line.stands(self.now, self.set.keep));
+        let is_unsuitable = |id: &WorkerId, worker: &Worker| {
+            let is_loaded =
+                model.entries.get(id).is_some_and(|entry| entry.is_loaded(self.now, self.settings.keep));
             let until = worker.no_room_until.max(worker.full_until);
             !worker.ready
-                || !self.within_group(worker, pending)
-                || stands
+                || !self.within_dedup_group(worker, pending)
+                || is_loaded
                 || until > self.now
-                || self.loads.contains(&(name, *id))
-                || self.spares(pending, worker, *id)
+                || self.loads_in_progress.contains(&(model_id, *id))
+                || self.avoids_cold_worker(pending, worker, *id)
         };
-        let key = |worker: &Worker| (self.odds(worker, class) >= 1.0, worker.zone != self.set.zone);
-        let homes = model.homes.iter().filter_map(|id| self.workers.get(&id).map(|worker| (id, worker)));
-        let open = homes.filter(|(id, worker)| !shut(id, worker));
-        let Some((worker, _)) = open.min_by_key(|home| key(home.1)) else {
-            if self.widen_homes(name) {
-                self.order(id, name, act);
+        let key =
+            |worker: &Worker| (self.failure_odds(worker, class) >= 1.0, worker.zone != self.settings.zone);
+        let preferred =
+            model.preferred.iter().filter_map(|id| self.workers.get(&id).map(|worker| (id, worker)));
+        let open = preferred.filter(|(id, worker)| !is_unsuitable(id, worker));
+        let Some((worker, _)) = open.min_by_key(|candidate| key(candidate.1)) else {
+            if self.widen_preferred(model_id) {
+                self.order_load(id, model_id, actions);
             }
             return;
         };
-        if !self.admitted(id, worker) {
-            return self.order(id, name, act);
+        if !self.admit_to_cold_worker(id, worker) {
+            return self.order_load(id, model_id, actions);
         }
-        self.make_room(worker, name, act);
-        self.models.entry(name).or_default().holders.entry(worker).or_default();
-        self.workers.entry(worker).and_modify(|worker| _ = worker.lines.insert(name));
-        self.loads.insert((name, worker));
+        self.evict_for(worker, model_id, actions);
+        self.models.entry(model_id).or_default().entries.entry(worker).or_default();
+        self.workers.entry(worker).and_modify(|worker| _ = worker.known_models.insert(model_id));
+        self.loads_in_progress.insert((model_id, worker));
         self.seq += 1;
-        self.ordered.add(self.now, self.seq, self.set.load_window + self.set.order_lag);
-        self.plan(self.now + PATIENCE / 2.0 * self.load_ms, Due::Order(name, worker));
-        act.push(Action::Load { worker, model: name, copies: 1 });
+        self.recent_load_orders.add(self.now, self.seq, self.settings.load_window + self.settings.order_lag);
+        self.schedule(
+            self.now + ANSWER_TIMEOUT_FACTOR / 2.0 * self.load_ms,
+            ScheduledTask::CheckLoadOrder(model_id, worker),
+        );
+        actions.push(Action::Load { worker, model: model_id, copies: 1 });
     }
 
-    pub(super) fn make_room(&mut self, at: WorkerId, name: ModelId, act: &mut Vec<Action>) {
+    /// Evicts idle models at a worker, drawn at random by weight, until the model fits into its memory.
+    pub(super) fn evict_for(&mut self, at: WorkerId, model_id: ModelId, actions: &mut Vec<Action>) {
         let Some(worker) = self.workers.get(&at) else { return };
-        let Some(&total) = self.set.kind_memory.get(worker.kind) else { return };
-        let mut placed = self.models.get(&name).map_or(0.0, |model| model.memory);
+        let Some(&total_mb) = self.settings.kind_memory.get(worker.kind) else { return };
+        let mut placed_mb = self.models.get(&model_id).map_or(0.0, |model| model.memory);
         let mut idle: Vec<(ModelId, f64, f64)> = Vec::new();
-        for &id in worker.lines.iter().filter(|id| **id != name) {
+        for &id in worker.known_models.iter().filter(|id| **id != model_id) {
             let Some(model) = self.models.get(&id) else { continue };
-            let Some(holder) = model.holders.get(&at) else { continue };
-            let stands = holder.stands(self.now, self.set.keep);
-            let loading = self.loads.contains(&(id, at));
-            if stands || loading {
-                let held = model.memory * f64::from(holder.copies.max(1));
-                placed += held;
-                if stands && holder.out == 0 && !loading {
-                    idle.push((id, held, self.eviction_weight(model)));
+            let Some(entry) = model.entries.get(&at) else { continue };
+            let is_loaded = entry.is_loaded(self.now, self.settings.keep);
+            let loading = self.loads_in_progress.contains(&(id, at));
+            if is_loaded || loading {
+                let held_mb = model.memory * f64::from(entry.copies.max(1));
+                placed_mb += held_mb;
+                if is_loaded && entry.in_flight == 0 && !loading {
+                    idle.push((id, held_mb, self.eviction_weight(model)));
                 }
             }
         }
-        while placed > total {
-            let Ok(&(id, held, _)) = idle.choose_weighted(&mut self.rng, |victim| victim.2) else { break };
+        while placed_mb > total_mb {
+            let Ok(&(id, held_mb, _)) = idle.choose_weighted(&mut self.rng, |victim| victim.2) else { break };
             idle.retain(|victim| victim.0 != id);
-            placed -= held;
-            if let Some(holder) = self.models.get_mut(&id).and_then(|model| model.holders.get_mut(&at)) {
-                holder.copies = 0;
+            placed_mb -= held_mb;
+            if let Some(entry) = self.models.get_mut(&id).and_then(|model| model.entries.get_mut(&at)) {
+                entry.copies = 0;
             }
-            act.push(Action::Evict { worker: at, model: id });
+            actions.push(Action::Evict { worker: at, model: id });
         }
     }
 
-    /// The paper's u / (f + t), with f halved every keep time and t a recency between 0 and 1.
+    /// The eviction weight of the paper, size / (frequency + recency): the frequency decays by half in each
+    /// keep time, the recency lies between 0 and 1.
     pub(super) fn eviction_weight(&self, model: &Model) -> f64 {
-        let age = (self.now - model.used.last).max(0.0) / self.set.keep;
-        model.memory.max(1.0) / (model.used.at(self.now, self.set.keep) + 1.0 / (1.0 + age))
+        let age = (self.now - model.recent_calls.last).max(0.0) / self.settings.keep;
+        model.memory.max(1.0) / (model.recent_calls.at(self.now, self.settings.keep) + 1.0 / (1.0 + age))
     }
 }
--- a/src/policy/routing.rs
+++ b/src/policy/routing.rs
@@ -1,60 +1,69 @@
-//! Which worker gets a call.
+//! Chooses the worker for a call and sends it.
 use super::*;
 
-/// Time after which the homes of models are ranked anew, as cold workers grow warm.
-const STEP: Ms = 1000.0;
+/// Interval at which preferred workers are ranked again, as cold workers warm up.
+const RANKING_STEP_MS: Ms = 1000.0;
 
 impl Dispatcher {
-    /// Gives waiting calls of these models to workers, the worthiest first, those past their aim last.
-    pub(super) fn pump(&mut self, names: Vec<ModelId>, act: &mut Vec<Action>) {
+    /// Sends waiting calls of these models, the most valuable first, those past their latency target last.
+    pub(super) fn dispatch_waiting(&mut self, model_ids: Vec<ModelId>, actions: &mut Vec<Action>) {
         let mut queue: Vec<(bool, f64, u64, RequestId)> = Vec::new();
-        for name in names {
-            let waiting = self.models.get_mut(&name).map(|model| std::mem::take(&mut model.waiting));
+        for model_id in model_ids {
+            let waiting = self.models.get_mut(&model_id).map(|model| std::mem::take(&mut model.waiting));
             for id in waiting.unwrap_or_default() {
                 if let Some(pending) = self.pending.get(&id) {
-                    queue.push((self.late(pending), -pending.value, pending.seq, id));
+                    queue.push((self.is_past_aim(pending), -pending.value, pending.seq, id));
                 }
             }
-            self.hungry.remove(&name);
-            self.rank_homes(name);
+            self.backlogged_models.remove(&model_id);
+            self.rank_preferred(model_id);
         }
         queue.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)).then(a.2.cmp(&b.2)));
-        // What one call of a model found shut is shut to its like behind it.
-        let mut shut: BTreeSet<(ModelId, usize)> = BTreeSet::new();
+        // Where one call could not be placed, later calls of the same model and class wait unless they are
+        // retries.
+        let mut blocked: BTreeSet<(ModelId, usize)> = BTreeSet::new();
         for (_, _, _, id) in queue {
             let Some(pending) = self.pending.get(&id) else { continue };
-            let (name, class, first) = (pending.request.model, pending.request.class, pending.attempts == 0);
-            if first && shut.contains(&(name, class)) || !self.place(id, act) {
-                self.models.entry(name).or_default().waiting.push(id);
-                self.hungry.insert(name);
-                shut.insert((name, class));
+            let (model_id, class, first) =
+                (pending.request.model, pending.request.class, pending.attempts == 0);
+            if first && blocked.contains(&(model_id, class)) || !self.place_call(id, actions) {
+                self.models.entry(model_id).or_default().waiting.push(id);
+                self.backlogged_models.insert(model_id);
+                blocked.insert((model_id, class));
             }
         }
     }
 
-    /// Odds that a call of a class fails at a worker, from its own answers and failures and, as far as
-    /// there are few of those, the other classes' failures and the part that fails everywhere: so a
-    /// worker known to answer is preferred while many do not, and none is shunned when all are alike.
-    pub(super) fn odds(&self, worker: &Worker, class: usize) -> f64 {
-        let faded = |health: &Health| 0.5f64.powf((self.now - health.at) / self.set.keep);
-        let all: f64 = worker.health.iter().map(|health| health.bad * faded(health)).sum();
+    /// Odds that a call of a class fails at a worker, from the worker's answers and failures in this class.
+    /// Where there are few of these, its failures in other classes and the class's overall failure rate
+    /// weigh in: a worker known to answer is preferred while many fail, and none is avoided when all fail
+    /// alike.
+    pub(super) fn failure_odds(&self, worker: &Worker, class: usize) -> f64 {
+        let faded = |health: &Health| 0.5f64.powf((self.now - health.updated_at) / self.settings.keep);
+        let all: f64 = worker.health.iter().map(|health| health.failures * faded(health)).sum();
         let own = &worker.health[class];
-        let (good, own) = (own.good * faded(own), own.bad * faded(own));
+        let (good, own) = (own.successes * faded(own), own.failures * faded(own));
         let bad = own + (all - own) / (1.0 + good);
-        (bad + self.doubt[class]) / (good + 1.0 - self.doubt[class]).max(0.01)
+        (bad + self.failure_rate[class]) / (good + 1.0 - self.failure_rate[class]).max(0.01)
     }
 
-    /// Whether a call may go to a worker now, as far as the rules go.
-    pub(super) fn open(&self, worker: &Worker, pending: &Pending) -> bool {
-        let shut = !worker.ready || worker.full_until > self.now || f64::from(worker.out) >= worker.limit;
-        !shut && self.within_group(worker, pending)
+    /// Whether a worker may get a call now: it is ready, not full, below its limit and within the call's
+    /// deduplication group.
+    pub(super) fn accepts(&self, worker: &Worker, pending: &PendingRequest) -> bool {
+        let blocked = !worker.ready
+            || worker.full_until > self.now
+            || f64::from(worker.in_flight) >= worker.in_flight_limit;
+        !blocked && self.within_dedup_group(worker, pending)
     }
 
-    /// Whether a keyed call that may have run may go to a worker.
-    pub(super) fn within_group(&self, worker: &Worker, pending: &Pending) -> bool {
-        let effect = self.set.classes[pending.request.class].effect;
-        let (Effect::Keyed(group, window), Some(ran)) = (effect, pending.ran.first()) else { return true };
-        self.now + self.set.tick < ran.2 + window
+    /// Whether a call may be sent to a worker without the risk of a duplicate run. Restricts only keyed
+    /// calls that may have run: to the deduplication group and window of the first attempt.
+    pub(super) fn within_dedup_group(&self, worker: &Worker, pending: &PendingRequest) -> bool {
+        let effect = self.settings.classes[pending.request.class].effect;
+        let (Effect::Keyed(group, window), Some(ran)) = (effect, pending.may_have_run.first()) else {
+            return true;
+        };
+        self.now + self.settings.tick < ran.2 + window
             && self.workers.get(&ran.1).is_some_and(|first| match group {
                 Group::All => true,
                 Group::Zone => first.zone == worker.zone,
@@ -62,126 +71,163 @@
             })
     }
 
-    /// Expected time of a call at a worker, its risk of failure and the crossing of zones counted in.
-    /// Gives also the time for which it would wait for a lane.
-    pub(super) fn cost(
+    /// Expected cost of a call at a worker, in ms: its expected time plus its failure odds times the
+    /// latency target. Also returns the time for which the call would wait for a lane, in ms.
+    pub(super) fn expected_cost(
         &self,
         worker: &Worker,
-        holder: Option<&Holder>,
-        pending: &Pending,
+        entry: Option<&CopyEntry>,
+        pending: &PendingRequest,
         lanes: f64,
     ) -> (f64, Ms) {
         let (class, now) = (pending.request.class, self.now);
-        let usual = self.usual[class].max(1.0);
-        let load = f64::from(worker.out) + 1.0;
-        let pace = 1.0 + (worker.pace - 1.0) * 0.5f64.powf((now - worker.paced_at) / self.set.keep);
-        let busy = holder.map_or(0.0, |line| f64::from(line.out));
-        let copies = f64::from(holder.map_or(1, |line| line.copies.max(1)));
+        let usual_latency_ms = self.usual_latency_ms[class].max(1.0);
+        let load = f64::from(worker.in_flight) + 1.0;
+        let latency_ratio = 1.0
+            + (worker.latency_ratio - 1.0)
+                * 0.5f64.powf((now - worker.latency_ratio_at) / self.settings.keep);
+        let busy = entry.map_or(0.0, |entry| f64::from(entry.in_flight));
+        let copies = f64::from(entry.map_or(1, |entry| entry.copies.max(1)));
         let queue = ((busy + 1.0) / (lanes * copies) - 1.0).max(0.0);
-        let time = usual * pace * load / worker.weight.max(0.1) + usual * queue;
-        (time + self.odds(worker, class) * self.set.classes[class].aim, usual * queue)
+        let time =
+            usual_latency_ms * latency_ratio * load / worker.weight.max(0.1) + usual_latency_ms * queue;
+        (time + self.failure_odds(worker, class) * self.settings.classes[class].aim, usual_latency_ms * queue)
     }
 
-    pub(super) fn place(&mut self, id: RequestId, act: &mut Vec<Action>) -> bool {
-        let may_order = self.set.orders && self.within_ration();
-        let Some(pending) = self.pending.get(&id).filter(|pending| pending.out == 0) else { return true };
-        let (name, class, now) = (pending.request.model, pending.request.class, self.now);
-        // Work that cannot be answered in time is wasted, and where nothing stops it, so is the worker.
-        let usual = self.usual[class];
+    /// Sends a waiting call, ends it, or orders a load for it. Returns false if the call has to wait.
+    pub(super) fn place_call(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
+        let may_order = self.settings.orders && self.within_load_quota();
+        let Some(pending) = self.pending.get(&id).filter(|pending| pending.in_flight == 0) else {
+            return true;
+        };
+        let (model_id, class, now) = (pending.request.model, pending.request.class, self.now);
+        // A call that can't be answered in time isn't sent: the worker would run it to the end for nothing
+        // unless it is cancelled.
+        let usual_latency_ms = self.usual_latency_ms[class];
         let reason = match () {
-            _ if self.models.get(&name).is_some_and(|model| model.unknown_until > now) => {
+            _ if self.models.get(&model_id).is_some_and(|model| model.unknown_until > now) => {
                 Some(EndReason::UnknownModel)
             }
-            _ if pending.attempts >= self.set.max_attempts => Some(EndReason::NoAttempts),
-            _ if pending.request.expires - now < usual => Some(EndReason::NoTime),
+            _ if pending.attempts >= self.settings.max_attempts => Some(EndReason::NoAttempts),
+            _ if pending.request.expires - now < usual_latency_ms => Some(EndReason::NoTime),
             _ => None,
         };
         if let Some(reason) = reason {
-            self.end(id, reason, act);
+            self.end_unserved(id, reason, actions);
             return true;
         }
-        let Some(mut found) = self.survey(pending, may_order) else { return false };
-        if found.is_blind && self.widen_homes(name) {
-            found = self.pending.get(&id).and_then(|call| self.survey(call, may_order)).unwrap_or_default();
+        let Some(mut found) = self.search_workers(pending, may_order) else { return false };
+        if found.no_healthy_worker && self.widen_preferred(model_id) {
+            found = self
+                .pending
+                .get(&id)
+                .and_then(|call| self.search_workers(call, may_order))
+                .unwrap_or_default();
         }
-        while found.best.is_some_and(|best| !self.admitted(id, best.1)) {
-            found = self.pending.get(&id).and_then(|call| self.survey(call, may_order)).unwrap_or_default();
+        while found.best.is_some_and(|best| !self.admit_to_cold_worker(id, best.1)) {
+            found = self
+                .pending
+                .get(&id)
+                .and_then(|call| self.search_workers(call, may_order))
+                .unwrap_or_default();
         }
-        let dear = found.best.is_none_or(|best| best.0 .2 > self.load_ms + usual);
-        // Before a load, other zones are asked; where a call would load by itself, the own one too.
-        let loads = self.set.lacking == Lacking::Loads;
-        if self.set.orders && !self.roams() && !found.known && (dear || loads) && self.ask(name, act) {
+        let is_expensive = found.best.is_none_or(|best| best.0 .2 > self.load_ms + usual_latency_ms);
+        // Queries the workers for copies before ordering a load; also before sending a call that would
+        // itself start a load at a worker.
+        let worker_loads = self.settings.lacking == Lacking::Loads;
+        if self.settings.orders
+            && !self.finds_copies_by_calls()
+            && !found.copy_known
+            && (is_expensive || worker_loads)
+            && self.query_copies(model_id, actions)
+        {
             return false;
         }
-        if dear {
-            self.order(id, name, act);
+        if is_expensive {
+            self.order_load(id, model_id, actions);
         }
-        found.best.is_some_and(|(_, at)| self.send(id, at, act))
+        found.best.is_some_and(|(_, at)| self.send(id, at, actions))
     }
 
-    /// Whether calls look in each zone themselves: where a question costs more than half a crossing.
-    pub(super) fn roams(&self) -> bool {
-        self.set.lacking == Lacking::Misses && 2.0 * self.set.price_probe > self.set.price_cross
+    /// Whether copies in other zones are found by sending calls there instead of by queries: where a query
+    /// costs more than half of a zone crossing and a call is answered with a miss where no copy is loaded.
+    pub(super) fn finds_copies_by_calls(&self) -> bool {
+        self.settings.lacking == Lacking::Misses
+            && 2.0 * self.settings.price_probe > self.settings.price_cross
     }
 
-    pub(super) fn send(&mut self, id: RequestId, at: WorkerId, act: &mut Vec<Action>) -> bool {
-        let (now, keep) = (self.now, self.set.keep);
+    pub(super) fn send(&mut self, id: RequestId, at: WorkerId, actions: &mut Vec<Action>) -> bool {
+        let (now, keep) = (self.now, self.settings.keep);
         let (Some(pending), Some(worker)) = (self.pending.get_mut(&id), self.workers.get_mut(&at)) else {
             return true;
         };
         let (class, model, attempt) = (pending.request.class, pending.request.model, pending.attempts);
-        worker.out += 1;
-        worker.sent.add(now, self.set.fall_span.min(self.set.cold_span));
-        (pending.attempts, pending.out) = (attempt + 1, pending.out + 1);
-        pending.ran.push((attempt, at, now));
-        let holder = self.models.entry(model).or_default().holders.entry(at).or_default();
-        holder.out += 1;
-        worker.lines.insert(model);
-        let (warm, life) = (holder.stands(now, keep), worker.life);
-        let flight = Flight { worker: at, life, model, class, sent: now, warm, ..Flight::default() };
-        self.plan(now + self.patience(&flight), Due::Answer(id, attempt));
-        self.flights.insert((id, attempt), flight);
-        act.push(Action::Send { id, worker: at, within: 0.0 });
+        worker.in_flight += 1;
+        worker.recent_sends.add(now, self.settings.fall_span.min(self.settings.cold_span));
+        (pending.attempts, pending.in_flight) = (attempt + 1, pending.in_flight + 1);
+        pending.may_have_run.push((attempt, at, now));
+        let entry = self.models.entry(model).or_default().entries.entry(at).or_default();
+        entry.in_flight += 1;
+        worker.known_models.insert(model);
+        let (warm, incarnation) = (entry.is_loaded(now, keep), worker.incarnation);
+        let sent_attempt = InFlightAttempt {
+            worker: at,
+            incarnation,
+            model,
+            class,
+            sent_at: now,
+            warm,
+            ..InFlightAttempt::default()
+        };
+        self.schedule(now + self.answer_timeout(&sent_attempt), ScheduledTask::CheckAnswer(id, attempt));
+        self.attempts_in_flight.insert((id, attempt), sent_attempt);
+        actions.push(Action::Send { id, worker: at, within: 0.0 });
         true
     }
 
-    pub(super) fn patience(&self, flight: &Flight) -> Ms {
-        PATIENCE * self.usual[flight.class].max(1.0) + if flight.warm { 0.0 } else { self.load_ms }
+    pub(super) fn answer_timeout(&self, sent_attempt: &InFlightAttempt) -> Ms {
+        ANSWER_TIMEOUT_FACTOR * self.usual_latency_ms[sent_attempt.class].max(1.0)
+            + if sent_attempt.warm { 0.0 } else { self.load_ms }
     }
 
-    /// Ranks the homes of a model by what has changed since it was last looked at.
-    pub(super) fn rank_homes(&mut self, name: ModelId) {
-        self.look_at_homes(name, |homes, fleet, step, warmth| homes.refresh(fleet, name, step, warmth));
+    /// Updates the preferred workers of a model with all changes since the last update.
+    pub(super) fn rank_preferred(&mut self, model_id: ModelId) {
+        self.with_preferred(model_id, |preferred, fleet, step, warmth| {
+            preferred.refresh(fleet, model_id, step, warmth)
+        });
     }
 
-    /// Goes on down the order of a model's homes, where none that is named so far was of use.
-    pub(super) fn widen_homes(&mut self, name: ModelId) -> bool {
-        self.look_at_homes(name, |homes, fleet, _, warmth| homes.widen(fleet, name, warmth)).unwrap_or(false)
+    /// Extends the list of a model's preferred workers, after none of those listed could be used. Returns
+    /// whether the list was extended.
+    pub(super) fn widen_preferred(&mut self, model_id: ModelId) -> bool {
+        self.with_preferred(model_id, |preferred, fleet, _, warmth| preferred.widen(fleet, model_id, warmth))
+            .unwrap_or(false)
     }
 
-    /// Looks at a model's homes with the ready workers, the step of the clock and how warm workers are in it.
-    fn look_at_homes<T>(
+    /// Calls `update` with a model's preferred workers, the ready workers, the current ranking step and the
+    /// warmth of workers in it.
+    fn with_preferred<T>(
         &mut self,
-        name: ModelId,
-        look: impl FnOnce(&mut Homes, &Fleet, u64, &WorkerWarmth<'_>) -> T,
+        model_id: ModelId,
+        update: impl FnOnce(&mut PreferredWorkers, &Fleet, u64, &WorkerWarmth<'_>) -> T,
     ) -> Option<T> {
-        let step = (self.now / STEP) as u64;
-        let of_worker = warmth_in(step, &self.workers, &self.set);
+        let step = (self.now / RANKING_STEP_MS) as u64;
+        let of_worker = warmth_in(step, &self.workers, &self.settings);
         let warmth = WorkerWarmth { of_worker: (!self.cold.is_empty()).then_some(&of_worker) };
-        let model = self.models.get_mut(&name)?;
-        Some(look(&mut model.homes, &self.fleet, step, &warmth))
+        let model = self.models.get_mut(&model_id)?;
+        Some(update(&mut model.preferred, &self.fleet, step, &warmth))
     }
 }
 
-/// How warm workers are at the beginning of a step: by the same clock, so that all front ends see cold ones
-/// grow in the same steps.
+/// Warmth of workers at the beginning of a ranking step, so that all invokers see cold workers warm up
+/// in the same steps.
 fn warmth_in<'a>(
     step: u64,
     workers: &'a BTreeMap<WorkerId, Worker>,
-    set: &'a Settings,
+    settings: &'a Settings,
 ) -> impl Fn(WorkerId) -> f64 + 'a {
     move |id| match workers.get(&id) {
-        Some(worker) if !worker.untried(set) => worker.warmth(step as f64 * STEP, set),
+        Some(worker) if !worker.untried(settings) => worker.warmth(step as f64 * RANKING_STEP_MS, settings),
         _ => 1.0,
     }
 }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,56 +1,69 @@
-//! What workers that have just started are spared.
+//! Slow start: limits the calls sent to workers that have just started (cold workers).
 use super::*;
 
-/// Cold workers at which a call may lose its draw until it spares them all.
-const DRAWS: usize = 3;
-/// First calls to a cold worker, of all front ends together, that need no draw: where those are few.
-pub(super) const FIRST_CALLS: f64 = 4.0;
-/// Calls taken for each one served beyond which it is not yet known what workers can do.
-const UNSERVED: f64 = 4.0;
+/// Lost draws at cold workers after which a call avoids all cold workers.
+const MAX_LOST_DRAWS: usize = 3;
+/// Number of first calls to a cold worker, over all invokers together, that are admitted without regard to
+/// the allowance. With more invokers than this, each admits its first call with a probability.
+pub(super) const UNRESTRICTED_FIRST_CALLS: f64 = 4.0;
+/// Calls taken per call served above which the calls served don't show yet what workers can do.
+const MAX_TAKEN_PER_SERVED: f64 = 4.0;
 
 impl Dispatcher {
-    /// Calls of ours that a cold worker bears in the span in which too many would fell it: its share, by its
-    /// present capacity, of what the fleet served of late, or was asked for where it served hardly any yet,
-    /// and what it proved by answers of its own, less than what would fell one of the usual speed.
-    pub(super) fn bears(&self, worker: &Worker) -> f64 {
-        let [taken, served] = [&self.taking, &self.served].map(|calls| calls.at(self.now, self.set.keep));
-        let asked = (taken - UNSERVED * served) / self.fleet.len().max(1) as f64;
-        let rate = (served / self.whole.value.max(1.0)).max(asked) / self.set.keep;
-        let share =
-            worker.warmth(self.now, &self.set) * worker.weight / self.fleet.mean_weight() * rate * self.half;
-        let proved = (self.set.fall_multiple - 1.0) * worker.answered.at(self.now, self.half);
-        (share + proved).min(self.set.fall_multiple * share)
+    /// Calls of this invoker that a cold worker may get within `fall_span`, the span over which overload
+    /// makes it fail. It is the worker's share, by its present capacity, of the calls that the fleet served
+    /// recently (of the calls taken, where hardly any were served yet), plus an allowance for the calls
+    /// that it answered itself, at most `fall_multiple` times the share.
+    pub(super) fn cold_call_allowance(&self, worker: &Worker) -> f64 {
+        let [taken, served] =
+            [&self.taken_calls, &self.served_calls].map(|calls| calls.at(self.now, self.settings.keep));
+        let asked = (taken - MAX_TAKEN_PER_SERVED * served) / self.fleet.len().max(1) as f64;
+        let rate = (served / self.effective_workers.value.max(1.0)).max(asked) / self.settings.keep;
+        let share = worker.warmth(self.now, &self.settings) * worker.weight / self.fleet.mean_weight()
+            * rate
+            * self.half_life;
+        let proved = (self.settings.fall_multiple - 1.0) * worker.recent_answers.at(self.now, self.half_life);
+        (share + proved).min(self.settings.fall_multiple * share)
     }
 
-    /// Whether a call spares a worker: that one is cold, and has its fill or the call lost its draw there of
-    /// late, or at several others.
-    pub(super) fn spares(&self, pending: &Pending, worker: &Worker, at: WorkerId) -> bool {
-        let lost = pending.draws.iter().filter(|draw| !draw.1 && self.now < draw.2 + self.set.fall_span);
-        let lost = || lost.clone().count() >= DRAWS || lost.clone().any(|draw| draw.0 == at);
-        let full = || worker.sent.count(self.now, self.set.fall_span) >= self.bears(worker).max(1.0);
-        worker.cold(self.now, &self.set) && (full() || lost())
+    /// Whether a call must avoid a worker: it is cold, and its allowance is used up, or the call recently
+    /// lost its draw there or at several other cold workers.
+    pub(super) fn avoids_cold_worker(&self, pending: &PendingRequest, worker: &Worker, at: WorkerId) -> bool {
+        let lost_draws =
+            pending.cold_draws.iter().filter(|draw| !draw.1 && self.now < draw.2 + self.settings.fall_span);
+        let lost =
+            || lost_draws.clone().count() >= MAX_LOST_DRAWS || lost_draws.clone().any(|draw| draw.0 == at);
+        let full = || {
+            worker.recent_sends.count(self.now, self.settings.fall_span)
+                >= self.cold_call_allowance(worker).max(1.0)
+        };
+        worker.cold(self.now, &self.settings) && (full() || lost())
     }
 
-    /// Whether a call may go to a worker. Where that one is cold and bears less than one call of each front
-    /// end, it is drawn. Each counts how many of its own would go there, so that one with few calls needs
-    /// no allowance saved up beforehand.
-    pub(super) fn admitted(&mut self, id: RequestId, at: WorkerId) -> bool {
-        let (now, set) = (self.now, &self.set);
-        let Some(worker) = self.workers.get(&at).filter(|worker| worker.cold(now, set)) else { return true };
-        let left = self.bears(worker) - worker.sent.count(now, set.fall_span);
+    /// Decides whether a call may go to a worker; always true for a warm one. Where less than one call is
+    /// left of the allowance of a cold worker, the call is admitted at random, with the allowance left over
+    /// the number of calls that would have gone there as probability. So an invoker with few calls needs no
+    /// saved allowance.
+    pub(super) fn admit_to_cold_worker(&mut self, id: RequestId, at: WorkerId) -> bool {
+        let (now, settings) = (self.now, &self.settings);
+        let Some(worker) = self.workers.get(&at).filter(|worker| worker.cold(now, settings)) else {
+            return true;
+        };
+        let left = self.cold_call_allowance(worker) - worker.recent_sends.count(now, settings.fall_span);
         let (Some(pending), Some(worker)) = (self.pending.get_mut(&id), self.workers.get_mut(&at)) else {
             return true;
         };
-        pending.draws.retain(|draw| now < draw.2 + set.fall_span);
-        if let Some(met) = pending.draws.iter().find(|draw| draw.0 == at) {
-            return met.1;
+        pending.cold_draws.retain(|draw| now < draw.2 + settings.fall_span);
+        if let Some(previous) = pending.cold_draws.iter().find(|draw| draw.0 == at) {
+            return previous.1;
         }
-        let wanted = worker.wanted.add(now, self.half);
+        let demand = worker.cold_demand.add(now, self.half_life);
         self.returned.remove(&at);
-        let part = if left < 1.0 { left / wanted } else { 1.0 };
-        let least = if wanted <= 1.0 { FIRST_CALLS / f64::from(set.front_ends) } else { 0.0 };
-        let drawn = self.rng.random::<f64>() < part.max(least);
-        pending.draws.push((at, drawn, now));
+        let probability = if left < 1.0 { left / demand } else { 1.0 };
+        let min_probability =
+            if demand <= 1.0 { UNRESTRICTED_FIRST_CALLS / f64::from(settings.front_ends) } else { 0.0 };
+        let drawn = self.rng.random::<f64>() < probability.max(min_probability);
+        pending.cold_draws.push((at, drawn, now));
         drawn
     }
 }
--- a/src/policy/survey.rs
+++ b/src/policy/survey.rs
@@ -1,86 +1,102 @@
-//! The look over the workers that a call may go to: the likeliest homes of its model until one is met that
-//! answers, and whoever else is believed to hold a copy.
+//! Searches for the best worker for a call: the model's preferred workers in order until a healthy one is
+//! found, and all others that are believed to hold a copy.
 use super::*;
 
-/// Part of the aim for which a queue at an instance may keep a call.
-const QUEUE: f64 = 0.5;
+/// Longest wait for a lane of a copy in the own zone, as a part of the latency target.
+const MAX_QUEUE_AIM_RATIO: f64 = 0.5;
 
-/// A look for one call.
-struct Survey<'a> {
+/// The search for one call.
+struct WorkerSearch<'a> {
     dispatcher: &'a Dispatcher,
-    pending: &'a Pending,
+    pending: &'a PendingRequest,
     model: &'a Model,
     may_order: bool,
-    /// A call goes and looks itself where that proves harmless, or no order may be given.
-    may_look: bool,
-    /// Zones in which a worker was met that rather answers than fails.
-    zones: BTreeSet<usize>,
-    /// Homes that were looked at.
-    met: Vec<WorkerId>,
-    found: Found,
+    /// The call may be sent to a worker that isn't known to hold a copy: where a miss is answered at once
+    /// and another attempt is left, or where no load may be ordered.
+    may_try_unloaded: bool,
+    /// Zones with a worker that is more likely to answer than to fail.
+    healthy_zones: BTreeSet<usize>,
+    /// Preferred workers examined so far.
+    examined: Vec<WorkerId>,
+    found: SearchResult,
 }
 
 impl Dispatcher {
-    /// Looks for the best worker for a call; cold ones are left out where they are spared.
-    pub(super) fn survey(&self, pending: &Pending, may_order: bool) -> Option<Found> {
+    /// Searches for the best worker for a call, without the cold workers that the call has to avoid.
+    pub(super) fn search_workers(&self, pending: &PendingRequest, may_order: bool) -> Option<SearchResult> {
         let model = self.models.get(&pending.request.model)?;
-        if let Some(at) = self.back_again(pending) {
+        if let Some(at) = self.untried_returned_worker(pending) {
             let best = Some(((false, false, 0.0), at));
-            return Some(Found { best, known: true, ..Found::default() });
+            return Some(SearchResult { best, copy_known: true, ..SearchResult::default() });
         }
-        let misses = self.set.lacking == Lacking::Misses;
-        let may_look = misses && pending.attempts + 1 < self.set.max_attempts || !may_order;
-        let (zones, met, found) = (BTreeSet::new(), Vec::new(), Found::default());
-        let mut survey = Survey { dispatcher: self, pending, model, may_order, may_look, zones, met, found };
-        SIDES.into_iter().for_each(|side| survey.look_at(side));
-        Some(Found { is_blind: survey.zones.is_empty(), ..survey.found })
+        let misses = self.settings.lacking == Lacking::Misses;
+        let may_try_unloaded = misses && pending.attempts + 1 < self.settings.max_attempts || !may_order;
+        let (healthy_zones, examined, found) = (BTreeSet::new(), Vec::new(), SearchResult::default());
+        let mut search = WorkerSearch {
+            dispatcher: self,
+            pending,
+            model,
+            may_order,
+            may_try_unloaded,
+            healthy_zones,
+            examined,
+            found,
+        };
+        SIDES.into_iter().for_each(|side| search.search_side(side));
+        Some(SearchResult { no_healthy_worker: search.healthy_zones.is_empty(), ..search.found })
     }
 
-    /// A worker that has come back and was not tried since is looked at once, whatever stands elsewhere: the
-    /// first of them in the order of homes.
-    fn back_again(&self, pending: &Pending) -> Option<WorkerId> {
+    /// The first, in the model's order of preference, of the workers that came back and have had no call
+    /// since. Such a worker gets one call even if copies are loaded elsewhere.
+    fn untried_returned_worker(&self, pending: &PendingRequest) -> Option<WorkerId> {
         let candidates = self.returned.iter().filter(|_| pending.attempts == 0).filter_map(|&at| {
             let worker = self.workers.get(&at).filter(|worker| {
-                worker.cold(self.now, &self.set) && worker.untried(&self.set) && self.open(worker, pending)
+                worker.cold(self.now, &self.settings)
+                    && worker.untried(&self.settings)
+                    && self.accepts(worker, pending)
             })?;
-            let fails =
-                self.odds(worker, pending.request.class) > 1.0 + self.doubt_odds(pending.request.class);
-            let is_bait = self.set.classes[pending.request.class].effect == Effect::Unsafe && fails;
-            let (side, ranked) =
-                self.fleet.get(at).filter(|_| !is_bait && !self.spares(pending, worker, at))?;
-            Some((side, homes::rank(&ranked, pending.request.model), at))
+            let fails = self.failure_odds(worker, pending.request.class)
+                > 1.0 + self.overall_failure_odds(pending.request.class);
+            let would_risk_unsafe =
+                self.settings.classes[pending.request.class].effect == Effect::Unsafe && fails;
+            let (side, ranked) = self
+                .fleet
+                .get(at)
+                .filter(|_| !would_risk_unsafe && !self.avoids_cold_worker(pending, worker, at))?;
+            Some((side, preferred_workers::rank(&ranked, pending.request.model), at))
         });
         candidates.min_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1))).map(|candidate| candidate.2)
     }
 
-    /// Odds that a call of a class fails wherever it goes.
-    fn doubt_odds(&self, class: usize) -> f64 {
-        self.doubt[class] / (1.0 - self.doubt[class]).max(0.01)
+    /// Odds that a call of a class fails, over all workers.
+    fn overall_failure_odds(&self, class: usize) -> f64 {
+        self.failure_rate[class] / (1.0 - self.failure_rate[class]).max(0.01)
     }
 
-    /// Whether a call that has to cross to a zone does better than one that waits for a load.
-    fn crossing_pays(&self, zone: usize) -> bool {
-        let own = self.zone_ms.get(&self.set.zone).copied().unwrap_or(0.0);
-        let there = self.zone_ms.get(&zone).copied().unwrap_or(own);
-        let crossing = self.set.price_cross + (there - own).max(0.0) / self.aim;
-        crossing <= self.set.price_fetch + self.load_ms / self.aim
+    /// Whether sending a call to another zone is cheaper than waiting for a load.
+    fn crossing_beats_load(&self, zone: usize) -> bool {
+        let own = self.fastest_answer_ms.get(&self.settings.zone).copied().unwrap_or(0.0);
+        let there = self.fastest_answer_ms.get(&zone).copied().unwrap_or(own);
+        let crossing = self.settings.price_cross + (there - own).max(0.0) / self.min_aim;
+        crossing <= self.settings.price_fetch + self.load_ms / self.min_aim
     }
 }
 
-impl Survey<'_> {
-    /// Looks at the homes of a group as far as they are near, and at all of it that may hold a copy.
-    fn look_at(&mut self, side: Side) {
-        let (model, roams) = (self.model, self.dispatcher.roams());
-        for home in model.homes.of(side) {
-            if !roams && !self.zones.is_empty() {
+impl WorkerSearch<'_> {
+    /// Examines the preferred workers of one side until a healthy one is found (all of them where copies
+    /// are found by calls), then all other workers of that side that are believed to hold a copy.
+    fn search_side(&mut self, side: Side) {
+        let (model, finds_copies_by_calls) = (self.model, self.dispatcher.finds_copies_by_calls());
+        for candidate in model.preferred.of(side) {
+            if !finds_copies_by_calls && !self.healthy_zones.is_empty() {
                 break;
             }
-            self.met.push(home.worker);
-            self.consider(home.worker);
+            self.examined.push(candidate.worker);
+            self.consider(candidate.worker);
         }
-        let keep = self.dispatcher.set.keep;
-        for (&at, holder) in &model.holders {
-            if !holder.stands(self.dispatcher.now, keep) || self.met.contains(&at) {
+        let keep = self.dispatcher.settings.keep;
+        for (&at, entry) in &model.entries {
+            if !entry.is_loaded(self.dispatcher.now, keep) || self.examined.contains(&at) {
                 continue;
             }
             if self.dispatcher.fleet.get(at).is_some_and(|(group, _)| group == side) {
@@ -90,40 +106,52 @@
     }
 
     fn consider(&mut self, at: WorkerId) {
-        let Survey { dispatcher, pending, model, .. } = *self;
-        let (name, class, now, set) =
-            (pending.request.model, pending.request.class, dispatcher.now, &dispatcher.set);
+        let WorkerSearch { dispatcher, pending, model, .. } = *self;
+        let (model_id, class, now, settings) =
+            (pending.request.model, pending.request.class, dispatcher.now, &dispatcher.settings);
         let Some(worker) = dispatcher.workers.get(&at) else { return };
-        let line = model.holders.get(&at);
-        let stands = line.is_some_and(|line| line.stands(now, set.keep));
-        let roams = dispatcher.roams();
-        // A cold worker that is far holds little yet, and has no calls to spare.
-        let near =
-            self.zones.is_empty() || roams && !self.zones.contains(&worker.zone) && !worker.cold(now, set);
-        if !(stands || near) || dispatcher.spares(pending, worker, at) || !dispatcher.open(worker, pending) {
+        let entry = model.entries.get(&at);
+        let is_loaded = entry.is_some_and(|entry| entry.is_loaded(now, settings.keep));
+        let finds_copies_by_calls = dispatcher.finds_copies_by_calls();
+        // Cold workers outside the first zone searched are left out: they hold few copies, and their
+        // allowance of calls is small.
+        let within_reach = self.healthy_zones.is_empty()
+            || finds_copies_by_calls
+                && !self.healthy_zones.contains(&worker.zone)
+                && !worker.cold(now, settings);
+        if !(is_loaded || within_reach)
+            || dispatcher.avoids_cold_worker(pending, worker, at)
+            || !dispatcher.accepts(worker, pending)
+        {
             return;
         }
-        let odds = dispatcher.odds(worker, class);
-        self.zones.extend((odds < 1.0).then_some(worker.zone));
-        let Class { aim, effect, .. } = set.classes[class];
-        // Unsafe calls are no bait: not sent where they rather fail than not, unless they do everywhere.
-        if effect == Effect::Unsafe && odds > 1.0 + dispatcher.doubt_odds(class) {
+        let odds = dispatcher.failure_odds(worker, class);
+        self.healthy_zones.extend((odds < 1.0).then_some(worker.zone));
+        let Class { aim, effect, .. } = settings.classes[class];
+        // Unsafe calls aren't used to test a worker that probably fails, unless they fail as often
+        // everywhere.
+        if effect == Effect::Unsafe && odds > 1.0 + dispatcher.overall_failure_odds(class) {
             return;
         }
-        let clear = line.is_none_or(|line| line.lacks <= now) && !dispatcher.loads.contains(&(name, at));
-        let presumed = near && self.may_look && (clear || !self.may_order);
-        if !stands && !presumed {
+        let no_load_pending = entry.is_none_or(|entry| entry.absent_until <= now)
+            && !dispatcher.loads_in_progress.contains(&(model_id, at));
+        let may_try = within_reach && self.may_try_unloaded && (no_load_pending || !self.may_order);
+        if !is_loaded && !may_try {
             return;
         }
-        self.found.known |= stands;
-        let foreign = worker.zone != set.zone;
-        let (cost, queue) = dispatcher.cost(worker, line, pending, model.lanes);
-        // A queue there is worth joining while it is cleared well within the aim.
-        let fits =
-            if foreign { queue <= 0.0 && dispatcher.crossing_pays(worker.zone) } else { queue < QUEUE * aim };
-        // Where it may have run without an answer it is tried again last.
-        let cost = cost + if pending.ran.iter().any(|ran| ran.1 == at) { aim } else { 0.0 };
-        let key = (foreign, foreign && roams && !stands, cost);
+        self.found.copy_known |= is_loaded;
+        let is_foreign = worker.zone != settings.zone;
+        let (cost, queue) = dispatcher.expected_cost(worker, entry, pending, model.lanes);
+        // In another zone the call must not wait at all; in the own zone the wait must leave enough of the
+        // latency target.
+        let fits = if is_foreign {
+            queue <= 0.0 && dispatcher.crossing_beats_load(worker.zone)
+        } else {
+            queue < MAX_QUEUE_AIM_RATIO * aim
+        };
+        // Workers where an earlier attempt may have run are tried last.
+        let cost = cost + if pending.may_have_run.iter().any(|ran| ran.1 == at) { aim } else { 0.0 };
+        let key = (is_foreign, is_foreign && finds_copies_by_calls && !is_loaded, cost);
         if fits && self.found.best.is_none_or(|best| key < best.0) {
             self.found.best = Some((key, at));
         }
--- a/src/policy/timers.rs
+++ b/src/policy/timers.rs
@@ -1,97 +1,114 @@
-//! What comes due: the ends of requests' times, silence, lost orders, and what is forgotten.
+//! Scheduled tasks: request deadlines, unanswered attempts, lost load orders, and removal of unused state.
 use super::*;
 
-/// Keep times after which what was not used is forgotten.
-const FORGET_KEEPS: f64 = 4.0;
+/// Unused entries and models are forgotten after this many keep times.
+const FORGET_AFTER_KEEPS: f64 = 4.0;
 
 impl Dispatcher {
-    /// Does what is due by then.
-    pub(super) fn due(&mut self, until: Ms, act: &mut Vec<Action>) {
+    /// Runs all tasks that are due by `until`.
+    pub(super) fn run_due_tasks(&mut self, until: Ms, actions: &mut Vec<Action>) {
         let until = (until * 1000.0) as u64;
-        while self.agenda.first().is_some_and(|entry| entry.0 <= until) {
-            let Some((_, due)) = self.agenda.pop_first() else { return };
+        while self.scheduled_tasks.first().is_some_and(|entry| entry.0 <= until) {
+            let Some((_, due)) = self.scheduled_tasks.pop_first() else { return };
             match due {
-                Due::Expiry(id) if self.pending.get(&id).is_some_and(|p| !p.streaming) => {
-                    self.end(id, EndReason::NoTime, act);
+                ScheduledTask::ExpireRequest(id) if self.pending.get(&id).is_some_and(|p| !p.streaming) => {
+                    self.end_unserved(id, EndReason::NoTime, actions);
                 }
-                Due::Answer(id, attempt) => self.overdue(id, attempt, act),
-                // An order that is long overdue is counted as lost; the load may go elsewhere.
-                Due::Order(model, at) if self.loads.remove(&(model, at)) => {
+                ScheduledTask::CheckAnswer(id, attempt) => self.check_overdue(id, attempt, actions),
+                // A load order without a result for this long counts as lost; the load may go to another
+                // worker.
+                ScheduledTask::CheckLoadOrder(model, at) if self.loads_in_progress.remove(&(model, at)) => {
                     let until = self.now + self.load_ms;
                     self.workers.entry(at).and_modify(|worker| worker.no_room_until = until);
                 }
-                Due::Expiry(_) | Due::Order(..) => {}
-                Due::Sweep => self.sweep(),
+                ScheduledTask::ExpireRequest(_) | ScheduledTask::CheckLoadOrder(..) => {}
+                ScheduledTask::Sweep => self.sweep(),
             }
         }
     }
 
-    /// Silence: an attempt is out for far longer than usual and nothing of its class was heard since,
-    /// or it is out for twice as long whatever was heard.
-    pub(super) fn overdue(&mut self, id: RequestId, attempt: u32, act: &mut Vec<Action>) {
-        let Some(flight) = self.flights.get(&(id, attempt)) else { return };
-        let (patience, since) = (self.patience(flight), flight.sent.max(self.awake));
-        let (class, at) = (flight.class, flight.worker);
-        if since + patience > self.now + 2.0 * (self.period() + self.set.tick) {
-            return self.plan(since + patience, Due::Answer(id, attempt));
+    /// Handles an attempt without an answer for far longer than usual. If the worker answered other calls
+    /// of the class since, the attempt counts as lost at first. Otherwise, or after a second timeout, it
+    /// counts as a failure of the worker.
+    pub(super) fn check_overdue(&mut self, id: RequestId, attempt: u32, actions: &mut Vec<Action>) {
+        let Some(sent_attempt) = self.attempts_in_flight.get(&(id, attempt)) else { return };
+        let (answer_timeout, since) =
+            (self.answer_timeout(sent_attempt), sent_attempt.sent_at.max(self.running_since));
+        let (class, at) = (sent_attempt.class, sent_attempt.worker);
+        if since + answer_timeout > self.now + 2.0 * (self.timer_period() + self.settings.tick) {
+            return self.schedule(since + answer_timeout, ScheduledTask::CheckAnswer(id, attempt));
         }
-        let Some(worker) = self.workers.get_mut(&at).filter(|w| w.life == flight.life) else { return };
-        if !flight.overdue && worker.health[class].heard > since {
-            // Others are answered there: this one is lost, and takes no place that is of use to others.
-            worker.out = worker.out.saturating_sub(1);
-            self.flights.entry((id, attempt)).and_modify(|flight| flight.lost = true);
-            self.plan(self.now + patience, Due::Answer(id, attempt));
+        let Some(worker) = self.workers.get_mut(&at).filter(|w| w.incarnation == sent_attempt.incarnation)
+        else {
+            return;
+        };
+        if !sent_attempt.overdue && worker.health[class].answered_at > since {
+            // The worker answers other calls: this one is lost and no longer counts towards its limit.
+            worker.in_flight = worker.in_flight.saturating_sub(1);
+            self.attempts_in_flight.entry((id, attempt)).and_modify(|sent_attempt| sent_attempt.lost = true);
+            self.schedule(self.now + answer_timeout, ScheduledTask::CheckAnswer(id, attempt));
         } else {
-            worker.health[class].note(self.now, self.set.keep, true);
-            blend(&mut self.doubt[class], 1.0);
-            let more = |p: &Pending| p.attempts < self.set.max_attempts && !p.streaming;
-            let may = self.pending.get(&id).is_some_and(more) && self.set.cancel && self.retries >= 1.0;
-            if may && self.set.classes[class].effect == Effect::Repeatable && !flight.called_off {
-                self.flights.entry((id, attempt)).and_modify(|flight| flight.called_off = true);
-                act.push(Action::Cancel { id, attempt });
+            worker.health[class].note(self.now, self.settings.keep, true);
+            update_moving_average(&mut self.failure_rate[class], 1.0);
+            let more = |p: &PendingRequest| p.attempts < self.settings.max_attempts && !p.streaming;
+            let may =
+                self.pending.get(&id).is_some_and(more) && self.settings.cancel && self.retry_budget >= 1.0;
+            if may && self.settings.classes[class].effect == Effect::Repeatable && !sent_attempt.cancelled {
+                self.attempts_in_flight
+                    .entry((id, attempt))
+                    .and_modify(|sent_attempt| sent_attempt.cancelled = true);
+                actions.push(Action::Cancel { id, attempt });
             }
         }
-        self.flights.entry((id, attempt)).and_modify(|flight| flight.overdue = true);
+        self.attempts_in_flight.entry((id, attempt)).and_modify(|sent_attempt| sent_attempt.overdue = true);
     }
 
-    /// Forgets what is no longer of use, so that a process that runs for months stays bounded.
+    /// Removes unused state, so that the memory of a long-running process stays bounded.
     pub(super) fn sweep(&mut self) {
-        let (now, keep) = (self.now, self.set.keep);
-        self.plan(now + keep + 4.0 * (self.period() + self.set.tick), Due::Sweep);
-        self.workers.retain(|_, worker| !worker.gone || worker.out > 0);
-        for (name, model) in &mut self.models {
-            model.homes.narrow();
-            model.holders.retain(|at, line| {
-                let loading = self.loads.contains(&(*name, *at));
-                let used = line.out > 0 || loading || now - line.seen < FORGET_KEEPS * keep;
+        let (now, keep) = (self.now, self.settings.keep);
+        self.schedule(now + keep + 4.0 * (self.timer_period() + self.settings.tick), ScheduledTask::Sweep);
+        self.workers.retain(|_, worker| !worker.gone || worker.in_flight > 0);
+        for (model_id, model) in &mut self.models {
+            model.preferred.narrow();
+            model.entries.retain(|at, entry| {
+                let loading = self.loads_in_progress.contains(&(*model_id, *at));
+                let used =
+                    entry.in_flight > 0 || loading || now - entry.confirmed_at < FORGET_AFTER_KEEPS * keep;
                 let worker = self.workers.get_mut(at);
                 let kept = used && worker.is_some();
-                worker.filter(|_| !kept).into_iter().for_each(|worker| _ = worker.lines.remove(name));
+                worker
+                    .filter(|_| !kept)
+                    .into_iter()
+                    .for_each(|worker| _ = worker.known_models.remove(model_id));
                 kept
             });
         }
-        let used = |model: &Model| !model.holders.is_empty() || !model.waiting.is_empty();
-        // A name that never stood anywhere is hardly a model: clients can make up any number of them.
-        let kept = |model: &Model| if model.proven { FORGET_KEEPS * keep } else { keep };
-        self.models.retain(|_, model| used(model) || now - model.used.last < kept(model));
+        let used = |model: &Model| !model.entries.is_empty() || !model.waiting.is_empty();
+        // Models that were never loaded anywhere are forgotten sooner: clients can make up any number of
+        // names.
+        let kept = |model: &Model| if model.known_to_exist { FORGET_AFTER_KEEPS * keep } else { keep };
+        self.models.retain(|_, model| used(model) || now - model.recent_calls.last < kept(model));
     }
 
-    /// Forgets models until so many bytes are free: those that never stood first, then the longest unused.
-    /// Those with calls waiting or out or loads under way stay. Tells how much that freed.
+    /// Forgets models until `bytes` bytes are freed: those never loaded first, then the least recently
+    /// used. Models with calls waiting or in flight or loads under way are kept. Returns the number of
+    /// bytes freed.
     pub fn forget(&mut self, bytes: usize) -> usize {
         let (mut idle, mut freed) = (Vec::new(), 0);
-        for (name, model) in &self.models {
-            let busy = |at, line: &Holder| line.out > 0 || self.loads.contains(&(*name, at));
-            if model.waiting.is_empty() && !model.holders.iter().any(|line| busy(*line.0, line.1)) {
-                idle.push((model.proven, model.used.last, *name));
+        for (model_id, model) in &self.models {
+            let busy = |at, entry: &CopyEntry| {
+                entry.in_flight > 0 || self.loads_in_progress.contains(&(*model_id, at))
+            };
+            if model.waiting.is_empty() && !model.entries.iter().any(|entry| busy(*entry.0, entry.1)) {
+                idle.push((model.known_to_exist, model.recent_calls.last, *model_id));
             }
         }
         idle.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
-        for (_, _, name) in idle {
-            let Some(model) = (freed < bytes).then(|| self.models.remove(&name)).flatten() else { break };
+        for (_, _, model_id) in idle {
+            let Some(model) = (freed < bytes).then(|| self.models.remove(&model_id)).flatten() else { break };
             freed += model.bytes();
-            for at in model.holders.keys() {
-                self.workers.entry(*at).and_modify(|worker| _ = worker.lines.remove(&name));
+            for at in model.entries.keys() {
+                self.workers.entry(*at).and_modify(|worker| _ = worker.known_models.remove(&model_id));
             }
         }
         freed
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,50 +1,49 @@
-//! What a dispatcher remembers, and how much memory that takes. What it means and when it changes is in
-//! `src/policy/`.
+//! The state of a dispatcher and an estimate of its memory. The rules that change it are in `src/policy/`.
 use crate::fleet::Fleet;
-use crate::homes::Homes;
 use crate::interface::*;
+use crate::preferred_workers::PreferredWorkers;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Answers and failures of one class at one worker, both fading with the keep time.
+/// Answers and failures of one class at one worker; both counts decay by half in each keep time.
 #[derive(Default, Clone)]
 pub(crate) struct Health {
-    pub good: f64,
-    pub bad: f64,
-    pub at: Ms,
-    pub heard: Ms,
+    pub successes: f64,
+    pub failures: f64,
+    pub updated_at: Ms,
+    pub answered_at: Ms,
 }
 
-/// A count that fades by half in each keep time.
+/// A count that decays by half in each `keep` ms.
 #[derive(Default, Clone, Copy)]
-pub(crate) struct Fading {
+pub(crate) struct DecayingCount {
     count: f64,
     /// When it was last added to.
     pub last: Ms,
 }
 
-impl Fading {
-    /// What is left of it.
+impl DecayingCount {
+    /// The decayed count.
     pub fn at(&self, now: Ms, keep: Ms) -> f64 {
         self.count * 0.5f64.powf((now - self.last) / keep)
     }
 
-    /// One more; tells how many that makes.
+    /// Adds one and returns the new count.
     pub fn add(&mut self, now: Ms, keep: Ms) -> f64 {
         (self.count, self.last) = (self.at(now, keep) + 1.0, now);
         self.count
     }
 }
 
-/// An average over time in which the past fades by half in each keep time, as in a [`Fading`] count.
+/// An average over time in which earlier values decay by half in each `keep` ms.
 #[derive(Default, Clone, Copy)]
-pub(crate) struct Average {
+pub(crate) struct DecayingAverage {
     pub value: f64,
-    /// When it was last noted.
+    /// When the value was last recorded.
     last: Option<Ms>,
 }
 
-impl Average {
-    /// The value as it stands now. The first one noted is the average.
+impl DecayingAverage {
+    /// Records the present value; the first one sets the average.
     pub fn note(&mut self, now: Ms, value: f64, keep: Ms) {
         let kept = self.last.map_or(0.0, |last| 0.5f64.powf((now - last) / keep));
         self.value = value + kept * (self.value - value);
@@ -52,55 +51,55 @@
     }
 }
 
-/// The times of what happened within a span, oldest first.
+/// Times of events within a span, oldest first.
 #[derive(Default, Clone)]
-pub(crate) struct Window {
+pub(crate) struct SlidingWindow {
     times: VecDeque<Ms>,
 }
 
-impl Window {
-    /// One more; what is older than the span is forgotten.
+impl SlidingWindow {
+    /// Adds an event and drops those older than `span` ms.
     pub fn add(&mut self, now: Ms, span: Ms) {
         while self.times.pop_front_if(|time| *time <= now - span).is_some() {}
         self.times.push_back(now);
     }
 
-    /// How many lie within the span.
+    /// Number of events within the last `span` ms.
     pub fn count(&self, now: Ms, span: Ms) -> f64 {
         (self.times.len() - self.times.partition_point(|time| *time <= now - span)) as f64
     }
 }
 
-/// What came of late, oldest first; what comes again while it is remembered is not counted twice.
-pub(crate) struct Recent<K> {
+/// Recent keys with their times, oldest first. A key that is still held isn't counted again.
+pub(crate) struct RecentUnique<K> {
     times: VecDeque<(Ms, K)>,
-    names: BTreeSet<K>,
+    keys: BTreeSet<K>,
 }
 
-impl<K> Default for Recent<K> {
+impl<K> Default for RecentUnique<K> {
     fn default() -> Self {
-        Recent { times: VecDeque::new(), names: BTreeSet::new() }
+        RecentUnique { times: VecDeque::new(), keys: BTreeSet::new() }
     }
 }
 
-impl<K: Copy + Ord> Recent<K> {
-    /// One more, unless it is remembered. What came longer ago than it is kept is forgotten.
-    pub fn add(&mut self, now: Ms, name: K, keep: Ms) {
+impl<K: Copy + Ord> RecentUnique<K> {
+    /// Adds a key unless it is held, and drops those older than `keep` ms.
+    pub fn add(&mut self, now: Ms, key: K, keep: Ms) {
         while let Some((_, old)) = self.times.pop_front_if(|came| came.0 < now - keep) {
-            self.names.remove(&old);
+            self.keys.remove(&old);
         }
-        if self.names.insert(name) {
-            self.times.push_back((now, name));
+        if self.keys.insert(key) {
+            self.times.push_back((now, key));
         }
     }
 
-    /// How many came after that.
+    /// Number of keys added after `time`.
     pub fn since(&self, time: Ms) -> usize {
         self.times.len() - self.times.partition_point(|came| came.0 <= time)
     }
 }
 
-/// What is believed of one worker.
+/// The estimated state of one worker.
 #[derive(Default)]
 pub(crate) struct Worker {
     pub hash: u64,
@@ -111,39 +110,40 @@
     pub gone: bool,
     pub weight: f64,
     pub born: Ms,
-    /// When a connection to it was last refused, and when one last broke.
-    pub broke: Ms,
-    pub reset: Ms,
-    /// Counts its processes; what an earlier one did tells nothing of this one.
-    pub life: u32,
-    /// Attempts of ours that are out there, and how many may be: falls when answers are late.
-    pub out: u32,
-    pub limit: f64,
-    pub cut_at: Ms,
+    /// When a connection attempt to it last failed, and when a connection was last reset.
+    pub connect_failed_at: Ms,
+    pub reset_at: Ms,
+    /// Counts the worker's processes; results of an earlier one say nothing about the current one.
+    pub incarnation: u32,
+    /// This invoker's attempts in flight at the worker, and their limit, which is reduced when answers are
+    /// late.
+    pub in_flight: u32,
+    pub in_flight_limit: f64,
+    pub limit_cut_at: Ms,
     pub health: Vec<Health>,
-    /// Usual time of its answers over the fleet's, and when that was last seen.
-    pub pace: f64,
-    pub paced_at: Ms,
+    /// Moving average of its latency over the usual latency of the class, and when it was last updated.
+    pub latency_ratio: f64,
+    pub latency_ratio_at: Ms,
     pub full_until: Ms,
-    /// Takes no loads until then, as far as known.
+    /// No loads are ordered there until then, because there is no memory or an order was lost.
     pub no_room_until: Ms,
-    /// Calls of ours that would have gone there while it was cold.
-    pub wanted: Fading,
-    /// Calls of ours that went there, and those that it served.
-    pub sent: Window,
-    pub answered: Fading,
-    /// Models with a line in the table for this worker.
-    pub lines: BTreeSet<ModelId>,
+    /// Calls of this invoker that would have gone there while it was cold.
+    pub cold_demand: DecayingCount,
+    /// Calls that this invoker sent there, and those that were served.
+    pub recent_sends: SlidingWindow,
+    pub recent_answers: DecayingCount,
+    /// Models with an entry for this worker.
+    pub known_models: BTreeSet<ModelId>,
 }
 
-/// A line of the table: one model at one worker.
+/// The entry for a (model, worker) pair.
 #[derive(Default)]
-pub(crate) struct Holder {
+pub(crate) struct CopyEntry {
     pub copies: u32,
-    /// When the copies were last known to stand, and until when it is known to lack them.
-    pub seen: Ms,
-    pub lacks: Ms,
-    pub out: u32,
+    /// When the copies were last confirmed, and until when the worker is known to have none.
+    pub confirmed_at: Ms,
+    pub absent_until: Ms,
+    pub in_flight: u32,
 }
 
 /// One model.
@@ -151,149 +151,149 @@
 pub(crate) struct Model {
     pub memory: f64,
     pub lanes: f64,
-    /// Calls of it.
-    pub used: Fading,
-    pub homes: Homes,
-    pub retry_at: Ms,
-    /// A copy of it stood somewhere, or a call of it was served.
-    pub proven: bool,
-    /// Errors that it brought in a row, and until when it counts as unknown to all workers.
-    pub strange: u32,
+    /// Calls of the model.
+    pub recent_calls: DecayingCount,
+    pub preferred: PreferredWorkers,
+    pub load_retry_at: Ms,
+    /// A copy was loaded somewhere, or a call was served.
+    pub known_to_exist: bool,
+    /// Consecutive errors, and until when the model counts as unknown to all workers.
+    pub consecutive_errors: u32,
     pub unknown_until: Ms,
-    /// Questions still unanswered, and since when.
-    pub asking: u32,
-    pub asked_at: Ms,
+    /// Queries for copies that are unanswered, and when they were last sent.
+    pub open_queries: u32,
+    pub queried_at: Ms,
     pub waiting: Vec<RequestId>,
-    pub holders: BTreeMap<WorkerId, Holder>,
+    pub entries: BTreeMap<WorkerId, CopyEntry>,
 }
 
-/// A request that is owed an answer.
+/// A request that has not been answered or ended.
 #[derive(Default)]
-pub(crate) struct Pending {
+pub(crate) struct PendingRequest {
     pub request: Request,
-    pub since: Ms,
+    pub taken_at: Ms,
     pub seq: u64,
     pub value: f64,
     pub attempts: u32,
-    pub out: u32,
-    /// Attempts that may have run, oldest first.
-    pub ran: Vec<(u32, WorkerId, Ms)>,
+    pub in_flight: u32,
+    /// Attempts that may have run, oldest first: number, worker and time of sending.
+    pub may_have_run: Vec<(u32, WorkerId, Ms)>,
     pub streaming: bool,
-    /// Cold workers that it would have gone to, whether it may, and when that was drawn.
-    pub draws: Vec<(WorkerId, bool, Ms)>,
+    /// Admission draws at cold workers: the worker, whether the call was admitted, and the time.
+    pub cold_draws: Vec<(WorkerId, bool, Ms)>,
 }
 
-/// What a look over the workers found for a call.
+/// The result of a search for a worker for a call.
 #[derive(Default)]
-pub(crate) struct Found {
-    /// The best worker, with what it was judged by.
+pub(crate) struct SearchResult {
+    /// The best worker, with its sort key: in another zone, not known to hold a copy there, expected cost
+    /// (ms).
     pub best: Option<((bool, bool, f64), WorkerId)>,
-    /// Whether a copy is known.
-    pub known: bool,
-    /// No worker was met that would rather answer than fail.
-    pub is_blind: bool,
+    /// Some usable worker is known to hold a copy.
+    pub copy_known: bool,
+    /// None of the workers examined is more likely to answer than to fail.
+    pub no_healthy_worker: bool,
 }
 
 /// An attempt that has no outcome yet.
 #[derive(Default)]
-pub(crate) struct Flight {
+pub(crate) struct InFlightAttempt {
     pub worker: WorkerId,
-    pub life: u32,
+    pub incarnation: u32,
     pub model: ModelId,
     pub class: usize,
-    pub sent: Ms,
-    /// Its copy was believed to stand.
+    pub sent_at: Ms,
+    /// A copy was believed to be loaded when it was sent.
     pub warm: bool,
     pub overdue: bool,
-    /// Others were answered there since, and it was not.
+    /// The worker answered other calls since but not this one.
     pub lost: bool,
-    pub called_off: bool,
+    pub cancelled: bool,
 }
 
-/// What comes due at a time.
+/// A task that runs at a set time.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Due {
-    Expiry(RequestId),
-    Answer(RequestId, u32),
-    Order(ModelId, WorkerId),
+pub(crate) enum ScheduledTask {
+    ExpireRequest(RequestId),
+    CheckAnswer(RequestId, u32),
+    CheckLoadOrder(ModelId, WorkerId),
     Sweep,
 }
 
-/// Entries that a node of the standard library's tree maps has room for, in use or not.
-const NODE: usize = 11;
-/// How full the nodes of a large map are at the least, in percent: when its keys come in their order.
-const FILL: usize = 55;
+/// Capacity of a node of the standard library's `BTreeMap`, in entries.
+const MAP_NODE_ENTRIES: usize = 11;
+/// Lowest fill of the nodes of a large map: when keys are inserted in order.
+const MIN_NODE_FILL_PERCENT: usize = 55;
 
-/// What a tree map of so many entries takes on the heap, in bytes.
-fn map<K, V>(len: usize) -> usize {
+/// Heap size of a `BTreeMap` of `len` entries, in bytes.
+fn map_bytes<K, V>(len: usize) -> usize {
     let entry = std::mem::size_of::<K>() + std::mem::size_of::<V>();
     match len {
         0 => 0,
-        1..=NODE => NODE * entry + 16,
-        _ => len * entry * 100 / FILL,
+        1..=MAP_NODE_ENTRIES => MAP_NODE_ENTRIES * entry + 16,
+        _ => len * entry * 100 / MIN_NODE_FILL_PERCENT,
     }
 }
 
-/// What one entry of a large tree map takes, in bytes.
-fn entry<K, V>() -> usize {
-    map::<K, V>(10 * NODE) / (10 * NODE)
+/// Size of one entry of a large `BTreeMap`, in bytes.
+fn map_entry_bytes<K, V>() -> usize {
+    map_bytes::<K, V>(10 * MAP_NODE_ENTRIES) / (10 * MAP_NODE_ENTRIES)
 }
 
-fn list<T>(list: &Vec<T>) -> usize {
+fn vec_bytes<T>(list: &Vec<T>) -> usize {
     list.capacity() * std::mem::size_of::<T>()
 }
 
 impl Model {
-    /// Lines of the table that a model gets when it is first called: those of the homes that are asked, and
-    /// that of the first order.
-    const FIRST_LINES: usize = 4;
-    /// Calls that wait for a model that is called first: the least that a list makes room for.
-    const FIRST_CALLS: usize = 4;
+    /// Entries that a model gets on its first call: for the workers queried and for the first load order.
+    const INITIAL_ENTRIES: usize = 4;
+    /// Calls that wait on the first call of a model: the smallest capacity that a vector allocates.
+    const INITIAL_WAITING_CALLS: usize = 4;
 
-    /// What it takes, in bytes.
+    /// Memory of the model's state, in bytes.
     pub fn bytes(&self) -> usize {
-        entry::<ModelId, Model>()
-            + self.homes.bytes()
-            + list(&self.waiting)
-            + map::<WorkerId, Holder>(self.holders.len())
-            + self.holders.len() * entry::<ModelId, ()>()
+        map_entry_bytes::<ModelId, Model>()
+            + self.preferred.bytes()
+            + vec_bytes(&self.waiting)
+            + map_bytes::<WorkerId, CopyEntry>(self.entries.len())
+            + self.entries.len() * map_entry_bytes::<ModelId, ()>()
     }
 
-    /// What one will take when it is first called, with so many workers that are ready, in bytes.
+    /// Memory that a model takes on its first call, with `ready` ready workers, in bytes.
     pub fn cost(ready: usize) -> usize {
-        entry::<ModelId, Model>()
-            + Homes::cost(ready)
-            + Model::FIRST_CALLS * std::mem::size_of::<RequestId>()
-            + map::<WorkerId, Holder>(Model::FIRST_LINES)
-            + Model::FIRST_LINES * entry::<ModelId, ()>()
+        map_entry_bytes::<ModelId, Model>()
+            + PreferredWorkers::cost(ready)
+            + Model::INITIAL_WAITING_CALLS * std::mem::size_of::<RequestId>()
+            + map_bytes::<WorkerId, CopyEntry>(Model::INITIAL_ENTRIES)
+            + Model::INITIAL_ENTRIES * map_entry_bytes::<ModelId, ()>()
     }
 }
 
 impl Worker {
-    /// What it takes, in bytes; its lines are counted with their models.
+    /// Memory of the worker's state, in bytes; its entries are counted with their models.
     pub fn bytes(&self) -> usize {
-        entry::<WorkerId, Worker>() + list(&self.health)
+        map_entry_bytes::<WorkerId, Worker>() + vec_bytes(&self.health)
     }
 }
 
-/// How much is remembered.
+/// Sizes of a dispatcher's tables.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Tables {
-    /// Models.
+    /// Number of models.
     pub models: usize,
-    /// Workers.
+    /// Number of workers.
     pub workers: usize,
-    /// Lines of the table: a model at a worker.
+    /// Number of entries for (model, worker) pairs.
     pub lines: usize,
-    /// What all of it takes, with what is planned, in bytes.
+    /// Memory of all tables and scheduled tasks, in bytes.
     pub bytes: usize,
 }
 
 impl Tables {
-    /// What a ready worker takes, before anything is learnt of models there, with so many classes of calls, in bytes.
+    /// Memory of a ready worker without entries for models, with `classes` classes of calls, in bytes.
     pub fn worker_cost(classes: usize) -> usize {
         let health = classes.max(1) * std::mem::size_of::<Health>();
-        entry::<WorkerId, Worker>() + health + Fleet::WORKER_COST
+        map_entry_bytes::<WorkerId, Worker>() + health + Fleet::WORKER_COST
     }
 
     pub(crate) fn of(
@@ -305,11 +305,11 @@
         Tables {
             models: models.len(),
             workers: workers.len(),
-            lines: models.values().map(|model| model.holders.len()).sum(),
+            lines: models.values().map(|model| model.entries.len()).sum(),
             bytes: models.values().map(Model::bytes).sum::<usize>()
                 + workers.values().map(Worker::bytes).sum::<usize>()
                 + fleet.bytes()
-                + planned * entry::<(u64, Due), ()>(),
+                + planned * map_entry_bytes::<(u64, ScheduledTask), ()>(),
         }
     }
 }
