--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,158 +1,159 @@
-//! The vocabulary shared by the dispatcher and its host: settings, events and actions.
-//! Times are milliseconds on the host's clock; nothing here decides anything.
+//! The types exchanged between the dispatcher and its host: settings, events and actions.
+//! Times are in milliseconds on the host's clock. This module holds no logic.
 
-/// Milliseconds, as a point on the host's clock or as a span.
+/// Milliseconds: a time on the host's clock or a duration.
 pub type Ms = f64;
 
-/// A worker, numbered by the host; the number is stable for the life of one dispatcher.
+/// A worker, numbered by the host; the number is stable for the lifetime of a dispatcher.
 #[derive(Default, Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WorkerId(pub u32);
 
-/// A request; never reused.
+/// A request; ids are never reused.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// A model that calls name.
+/// A model (a function) that is called.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ModelId(pub u64);
 
-/// Which workers drop repeats of a keyed request.
+/// The workers that share a record of keyed requests and drop repeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Group {
     /// Every worker.
     All,
-    /// Those in the zone of the first attempt's worker.
+    /// The workers in the zone of the first attempt's worker.
     Zone,
-    /// Those in the cell of the first attempt's worker.
+    /// The workers in the cell of the first attempt's worker.
     Cell,
 }
 
-/// What running a request of a class twice would do.
+/// The effect of running a request of a class twice.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Effect {
-    /// Nothing: it may be repeated freely.
+    /// None: the request may be repeated freely.
     Repeatable,
-    /// Workers of the group drop repeats for so long after the first send.
+    /// Workers of the group drop repeats for this time (ms) after the first attempt was sent.
     Keyed(Group, Ms),
-    /// Harm: it must never run twice.
+    /// Harmful: the request must never run twice.
     Unsafe,
 }
 
-/// One class of call.
+/// A class of calls.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// An answer within this span earns the full worth.
+    /// Latency target, in ms: an answer within this time earns the full worth.
     pub aim: Ms,
     /// Worth of a served request.
     pub worth: f64,
-    /// Share of the worth that a late answer still earns.
+    /// Share of the worth that a late answer earns, from 0 to 1.
     pub late_worth: f64,
-    /// What a repeat would do.
+    /// The effect of a repeated run.
     pub effect: Effect,
 }
 
-/// One customer with a share of the service.
+/// A tenant with a quota of calls.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Calls a second, over all front ends, within its share.
+    /// Quota in calls per second, over all invokers.
     pub quota_per_s: f64,
 }
 
-/// What a worker does with a call of a model it does not hold.
+/// What a worker does with a call of a model that it hasn't loaded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lacking {
     /// It loads the model while the call waits there.
     Loads,
-    /// It answers [`Outcome::Miss`]; only an order loads.
+    /// It answers [`Outcome::Miss`]; only a load order loads the model.
     Misses,
 }
 
-/// Everything a dispatcher is told at its start.
+/// Settings of a dispatcher.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Index of the front end's own zone.
+    /// Index of the invoker's own zone.
     pub zone: usize,
-    /// The host's batch interval.
+    /// The host's batch interval, in ms.
     pub tick: Ms,
-    /// Front ends in all, this one included.
+    /// Number of invokers, including this one.
     pub front_ends: u32,
-    /// Classes, in the order of their numbers.
+    /// Classes, by index.
     pub classes: Vec<Class>,
-    /// Tenants, in the order of their numbers.
+    /// Tenants, by index.
     pub tenants: Vec<Tenant>,
-    /// Part of its worth that a request beyond its tenant's share keeps.
+    /// Share of its worth that a request over its tenant's quota keeps.
     pub over_share_worth: f64,
-    /// Worth counts by work rather than by request.
+    /// Worth is per unit of work rather than per request.
     pub worth_by_work: bool,
-    /// Memory of each machine kind, MB.
+    /// Memory of each machine kind, in MB.
     pub kind_memory: Vec<f64>,
-    /// Most attempts for one request.
+    /// Maximum number of attempts per request.
     pub max_attempts: u32,
-    /// Attempts may be called off.
+    /// Attempts may be cancelled.
     pub cancel: bool,
     /// Workers may be probed.
     pub probes: bool,
-    /// A request may have two attempts out.
+    /// A request may have two attempts in flight.
     pub second_copies: bool,
-    /// Refusals may carry advice when to come again.
+    /// Refusals may tell the client when to retry.
     pub retry_after: bool,
-    /// Longest advice that clients heed.
+    /// Longest retry delay that clients respect, in ms.
     pub max_retry_after: Ms,
-    /// The roster comes only when asked for.
+    /// The roster is sent only on request.
     pub roster_on_request: bool,
-    /// A roster that must be asked for goes stale after this.
+    /// Time after which a roster sent on request is stale, in ms.
     pub ask_within: Ms,
-    /// Time in which sends to a draining worker must end.
+    /// Time within which sends to a draining worker must stop, in ms.
     pub drain_grace: Ms,
-    /// A worker starts at this share of its capacity or more.
+    /// Lowest share of its capacity that a worker starts with, from 0 to 1.
     pub cold_from: f64,
-    /// It is warm after this.
+    /// Time after its start at which a worker is warm, in ms.
     pub cold_span: Ms,
-    /// Sent more than this multiple of its present capacity ...
+    /// A cold worker fails if it is sent more than this multiple of its present capacity during
+    /// `fall_span`.
     pub fall_multiple: f64,
-    /// ... for this span, a cold worker falls over.
+    /// Span over which `fall_multiple` counts, in ms.
     pub fall_span: Ms,
-    /// What a worker does with a model it lacks.
+    /// What a worker does with a call of a model that it hasn't loaded.
     pub lacking: Lacking,
     /// Load and evict orders are allowed.
     pub orders: bool,
-    /// Least time for which an idle copy is kept.
+    /// Shortest time for which a worker keeps an idle copy, in ms.
     pub keep: Ms,
-    /// Load orders always allowed in the window.
+    /// Load orders allowed per window regardless of requests.
     pub load_free: f64,
-    /// Further load orders for each request taken in the window.
+    /// Further load orders allowed per request taken in the window.
     pub load_share: f64,
-    /// Window for counting load orders; 0 for no limit.
+    /// Window over which load orders are counted, in ms; 0 for no limit.
     pub load_window: Ms,
-    /// Longest time from an order's decision until it goes out; the host gives up one that would go later.
+    /// Longest time from the decision on a load order until it is sent, in ms; the host drops later ones.
     pub order_lag: Ms,
-    /// Answers tell whether a loaded copy was found.
+    /// Answers report whether a loaded copy was found.
     pub tells_warm: bool,
-    /// Price of one attempt that crosses zones, as a share of a request's worth.
+    /// Price of an attempt in another zone, as a share of a request's worth.
     pub price_cross: f64,
-    /// Price of one probe or order, likewise.
+    /// Price of a probe or order, as a share of a request's worth.
     pub price_probe: f64,
-    /// Price of one fetch from the store, likewise.
+    /// Price of a fetch from the model store, as a share of a request's worth.
     pub price_fetch: f64,
 }
 
 /// State of a worker in the roster.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
-    /// Takes work.
+    /// Accepts calls.
     Ready,
-    /// Finishes its work; nothing new goes there.
+    /// Finishes its calls and gets no new ones.
     Draining,
     /// Removed.
     Gone,
 }
 
-/// One line of the roster.
+/// An entry of the roster.
 #[derive(Clone, Debug)]
 pub struct RosterEntry {
     /// The worker.
     pub worker: WorkerId,
-    /// Its name, the same at every front end.
+    /// Its name, the same at every invoker.
     pub name: String,
     /// Index of its zone.
     pub zone: usize,
@@ -160,28 +161,28 @@
     pub kind: usize,
     /// Its cell.
     pub cell: i64,
-    /// Whether it takes work.
+    /// Whether it accepts calls.
     pub standing: Standing,
-    /// Size in relation to the others.
+    /// Capacity relative to other workers.
     pub weight: f64,
-    /// When it last started; 0 for long ago.
+    /// Time of its last start, in ms; 0 for long ago.
     pub born: Ms,
 }
 
-/// News of the roster.
+/// An update of the roster.
 #[derive(Clone, Debug)]
 pub enum Roster {
     /// Changed entries only.
     Changes(Vec<RosterEntry>),
-    /// The whole list.
+    /// The complete list.
     Whole(Vec<RosterEntry>),
-    /// The list as an earlier life last had it.
+    /// The complete list as stored by an earlier process.
     Remembered(Vec<RosterEntry>),
-    /// A call for it failed.
+    /// A request for the roster failed.
     Refused,
 }
 
-/// A request taken by this front end.
+/// A request taken by this invoker.
 #[derive(Clone, Debug, Default)]
 pub struct Request {
     /// Its id.
@@ -192,168 +193,168 @@
     pub tenant: Option<usize>,
     /// The model it calls.
     pub model: ModelId,
-    /// Size of one copy, MB.
+    /// Memory of one copy, in MB.
     pub memory: f64,
-    /// Calls at a time in one copy.
+    /// Number of calls that one copy serves at once.
     pub lanes: f64,
-    /// Rough time of one load, where told.
+    /// Approximate time of a load, in ms, if known.
     pub load_hint: Option<Ms>,
-    /// Rough core time, where told.
+    /// Approximate CPU time of a call, in ms, if known.
     pub cost_hint: Option<Ms>,
-    /// The client stops waiting at this time.
+    /// Time at which the client stops waiting, in ms.
     pub expires: Ms,
 }
 
-/// How an attempt, probe or order ended.
+/// The result of an attempt, probe or order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served, passed or standing.
+    /// The call was served, the probe passed or the order was carried out.
     Ok,
-    /// Answered with an error; an attempt may have run.
+    /// The worker answered with an error; an attempt may have run.
     Error,
-    /// Not taken.
+    /// The worker was full and didn't accept it; not run.
     Full,
     /// No answer in time; may have run.
     Timeout,
-    /// No connection; not run.
+    /// No connection could be made; not run.
     ConnectFailed,
-    /// Connection broke; may have run.
+    /// The connection broke; may have run.
     Reset,
-    /// Called off; may have run.
+    /// Cancelled; may have run.
     Cancelled,
-    /// Never sent.
+    /// Never sent; not run.
     Moot,
-    /// Model not loaded there; not run.
+    /// The model isn't loaded there; not run.
     Miss,
 }
 
 impl Outcome {
-    /// Whether an attempt that ended so is known not to have run.
+    /// Whether an attempt with this outcome is known not to have run.
     pub fn proves_not_run(self) -> bool {
         matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot | Outcome::Miss)
     }
 }
 
-/// What an answer says of the copy it met.
+/// What an answer reports about the copy that served it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Warmth {
-    /// Nothing said.
+    /// Nothing was reported.
     Untold,
-    /// A copy stood loaded.
+    /// A copy was loaded.
     Warm,
-    /// This call began a load.
+    /// The call started a load.
     Loaded,
-    /// It waited for a load begun before.
+    /// The call waited for a load that had started before.
     Waited,
     /// The load failed.
     LoadFailed,
 }
 
-/// A worker's load report; absent values were not reported.
+/// A worker's load report; `None` for values not reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Report {
-    /// Requests in hand.
+    /// Requests in progress.
     pub inflight: Option<f64>,
-    /// Share of memory that cannot be freed.
+    /// Share of memory that can't be freed, from 0 to 1.
     pub pinned: Option<f64>,
-    /// Loads under way or waiting.
+    /// Loads in progress or waiting.
     pub loading: Option<f64>,
 }
 
-/// The end of an attempt.
+/// The result of an attempt.
 #[derive(Clone, Debug)]
 pub struct Finished {
     /// The request.
     pub id: RequestId,
-    /// Which attempt.
+    /// The attempt, counted from 0.
     pub attempt: u32,
     /// The worker.
     pub worker: WorkerId,
-    /// Nothing more is owed for the request.
+    /// The request is finished; nothing remains to be done for it.
     pub closed: bool,
-    /// How it ended.
+    /// The outcome.
     pub outcome: Outcome,
-    /// How long it took.
+    /// How long it took, in ms.
     pub took: Ms,
-    /// What the answer says of the copy.
+    /// What the answer reports about the copy.
     pub warmth: Warmth,
-    /// Other calls of the model that the worker held, where told.
+    /// Other calls of the model in progress at the worker, if reported.
     pub crowd: Option<u32>,
     /// Load report, if any.
     pub report: Option<Report>,
 }
 
-/// What the host tells the dispatcher.
+/// An event passed from the host to the dispatcher.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// News of the roster.
+    /// The roster has changed.
     Roster(Roster),
     /// A request was taken.
     Request(Request),
-    /// The answer of an attempt began to stream.
+    /// The answer of an attempt has started to stream.
     Started {
         /// The request.
         id: RequestId,
     },
-    /// An attempt is over.
+    /// An attempt has ended.
     Finished(Finished),
-    /// Nobody waits for the request any more.
+    /// The client no longer waits for the request.
     Withdrawn {
         /// The request.
         id: RequestId,
     },
     /// A timer fired.
     Timer {
-        /// As given.
+        /// The token given in [`Action::Timer`].
         token: u64,
     },
-    /// A probe came back.
+    /// A probe has ended.
     Probed {
         /// The worker.
         worker: WorkerId,
-        /// How it ended.
+        /// The outcome.
         outcome: Outcome,
-        /// How long it took.
+        /// How long it took, in ms.
         took: Ms,
         /// Load report, if any.
         report: Option<Report>,
     },
-    /// A load order came back.
+    /// A load order or a query for copies has ended.
     Loaded {
         /// The worker.
         worker: WorkerId,
         /// The model.
         model: ModelId,
-        /// How it ended.
+        /// The outcome.
         outcome: Outcome,
-        /// Copies that stand.
+        /// Number of loaded copies.
         copies: u32,
-        /// How long it took.
+        /// How long it took, in ms.
         took: Ms,
     },
 }
 
-/// Why a request is ended unserved.
+/// The reason why a request was ended unserved.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndReason {
-    /// Its class is not among the settings.
+    /// Its class isn't in the settings.
     UnknownClass,
-    /// Too many answers are late, and its class is worth least.
+    /// Too many answers are late, and other classes are worth more.
     Shed,
     /// No worker knows its model.
     UnknownModel,
-    /// What is left of its time is too short for an answer.
+    /// The time left until its deadline is too short for an answer.
     NoTime,
-    /// It has had as many attempts as it may have.
+    /// It has used all its attempts.
     NoAttempts,
     /// An attempt may have run, and its class does not allow another.
     MayNotRepeat,
-    /// An attempt may have run, and there are too many retries already.
+    /// An attempt may have run, and the retry budget is used up.
     RetryBudget,
 }
 
 impl EndReason {
-    /// All of them.
+    /// All reasons.
     pub const ALL: [EndReason; 7] = [
         EndReason::UnknownClass,
         EndReason::Shed,
@@ -364,7 +365,7 @@
         EndReason::RetryBudget,
     ];
 
-    /// Its name in logs and counters.
+    /// The reason's name in logs and counters.
     pub fn name(self) -> &'static str {
         match self {
             EndReason::UnknownClass => "unknown_class",
@@ -378,39 +379,39 @@
     }
 }
 
-/// What the dispatcher asks of the host.
+/// An action that the host is to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt of the request.
     Send {
         /// The request.
         id: RequestId,
-        /// Where.
+        /// The worker.
         worker: WorkerId,
-        /// Give up after this; 0 for as long as the client waits.
+        /// Time limit in ms; 0 for as long as the client waits.
         within: Ms,
     },
-    /// End it unserved; trying again is harmless.
+    /// End the request unserved; the client may safely retry.
     Refuse {
         /// The request.
         id: RequestId,
-        /// Advice when to come again; 0 for none.
+        /// Delay in ms after which the client should retry; 0 if none is advised.
         retry_after: Ms,
-        /// Why.
+        /// The reason.
         reason: EndReason,
     },
-    /// End it with an error that promises nothing.
+    /// End the request with an error; it may have run.
     Fail {
         /// The request.
         id: RequestId,
-        /// Why.
+        /// The reason.
         reason: EndReason,
     },
-    /// Call an attempt off.
+    /// Cancel an attempt.
     Cancel {
         /// The request.
         id: RequestId,
-        /// Which attempt.
+        /// The attempt, counted from 0.
         attempt: u32,
     },
     /// Probe a worker.
@@ -418,29 +419,29 @@
         /// The worker.
         worker: WorkerId,
     },
-    /// Order copies of a model held; 0 only asks how many stand.
+    /// Order a worker to hold copies of a model; 0 only queries how many are loaded.
     Load {
-        /// Where.
+        /// The worker.
         worker: WorkerId,
-        /// What.
+        /// The model.
         model: ModelId,
-        /// How many.
+        /// Number of copies.
         copies: u32,
     },
-    /// Have the idle copies of a model unloaded.
+    /// Order a worker to unload the idle copies of a model.
     Evict {
-        /// Where.
+        /// The worker.
         worker: WorkerId,
-        /// What.
+        /// The model.
         model: ModelId,
     },
     /// Set a timer.
     Timer {
-        /// Comes back as given.
+        /// Returned in [`Event::Timer`].
         token: u64,
-        /// How long from now.
+        /// Delay from now, in ms.
         delay: Ms,
     },
-    /// Open a standing subscription to the roster.
+    /// Open a lasting subscription to the roster.
     Subscribe,
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,8 +1,8 @@
-//! Reads [`Settings`] and the names it numbers from the JSON object that an instance is told at its start.
+//! Reads [`Settings`] and the names behind its indices from the JSON settings object of an invoker.
 use crate::interface::*;
 use serde_json::Value;
 
-/// The names behind the numbers in [`Settings`], in the same order.
+/// The names behind the indices in [`Settings`], in the same order.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
     /// Classes of calls.
@@ -13,11 +13,11 @@
     pub zones: Vec<String>,
     /// Machine kinds.
     pub kinds: Vec<String>,
-    /// Values of a load report.
+    /// Fields of a load report.
     pub fields: Vec<String>,
 }
 
-/// Number of a name in a list.
+/// Index of a name in a list.
 pub fn position(names: &[String], name: &str) -> Option<usize> {
     names.iter().position(|known| known == name)
 }
@@ -41,7 +41,7 @@
 }
 
 impl Settings {
-    /// Reads the settings object; what is missing or odd falls back to the safer reading.
+    /// Reads the settings object; a missing or invalid value gets the safer default.
     pub fn from_json(setup: &Value) -> Self {
         let number = |group: &str, key: &str, default: f64| {
             let value = if group.is_empty() { &setup[key] } else { &setup[group][key] };
