--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -93,8 +93,8 @@
 
     /// Workers whose rank has changed since a revision; `None` if these changes are no longer remembered.
     pub fn changed_since(&self, revision: u64) -> Option<impl Iterator<Item = WorkerId> + '_> {
-        let known = revision.checked_sub(self.first_revision)?;
-        Some(self.changes.iter().skip(known as usize).copied())
+        let skipped = revision.checked_sub(self.first_revision)?;
+        Some(self.changes.iter().skip(skipped as usize).copied())
     }
 
     /// Inserts or updates a ready worker.
@@ -155,9 +155,9 @@
 /// The ready workers that are cold, with sums over their weights and ages.
 #[derive(Default)]
 pub(crate) struct ColdWorkers {
-    known: BTreeMap<WorkerId, ColdWorker>,
+    workers: BTreeMap<WorkerId, ColdWorker>,
     /// When each worker will be warm, in microseconds.
-    ends: BTreeSet<(u64, WorkerId)>,
+    warm_times: BTreeSet<(u64, WorkerId)>,
     weight: f64,
     /// Sum of weight times start.
     weighted_start: f64,
@@ -167,35 +167,35 @@
 struct ColdWorker {
     weight: f64,
     started: Ms,
-    end: u64,
+    warm_at: u64,
 }
 
 impl ColdWorkers {
     /// Inserts or updates a cold worker that started at `started` and is warm `span` ms later.
     pub fn set(&mut self, id: WorkerId, weight: f64, started: Ms, span: Ms) {
         self.remove(id);
-        let end = ((started + span).max(0.0) * 1000.0) as u64;
-        self.known.insert(id, ColdWorker { weight, started, end });
-        self.ends.insert((end, id));
+        let warm_at = ((started + span).max(0.0) * 1000.0) as u64;
+        self.workers.insert(id, ColdWorker { weight, started, warm_at });
+        self.warm_times.insert((warm_at, id));
         self.weight += weight;
         self.weighted_start += weight * started;
     }
 
     /// Removes a worker that is warm or no longer ready.
     pub fn remove(&mut self, id: WorkerId) {
-        let Some(cold) = self.known.remove(&id) else { return };
-        self.ends.remove(&(cold.end, id));
+        let Some(cold) = self.workers.remove(&id) else { return };
+        self.warm_times.remove(&(cold.warm_at, id));
         self.weight -= cold.weight;
         self.weighted_start -= cold.weight * cold.started;
-        if self.known.is_empty() {
+        if self.workers.is_empty() {
             (self.weight, self.weighted_start) = (0.0, 0.0);
         }
     }
 
     /// Removes and returns one worker that is warm at `now`.
     pub fn pop_warm(&mut self, now: Ms) -> Option<WorkerId> {
-        let &(end, id) = self.ends.first()?;
-        if end as f64 > now * 1000.0 {
+        let &(warm_at, id) = self.warm_times.first()?;
+        if warm_at as f64 > now * 1000.0 {
             return None;
         }
         self.remove(id);
@@ -203,7 +203,7 @@
     }
 
     pub fn is_empty(&self) -> bool {
-        self.known.is_empty()
+        self.workers.is_empty()
     }
 
     /// Sum of the weights of all cold workers.
@@ -213,7 +213,7 @@
 
     /// Sum of weight times age, with the age as a part of the span (ms) after which a worker is warm.
     pub fn weighted_age(&self, now: Ms, span: Ms) -> f64 {
-        if self.known.is_empty() || span <= 0.0 {
+        if self.workers.is_empty() || span <= 0.0 {
             return 0.0;
         }
         ((now * self.weight - self.weighted_start) / span).clamp(0.0, self.weight)
--- a/src/policy/beliefs.rs
+++ b/src/policy/beliefs.rs
@@ -18,7 +18,7 @@
 
 impl Health {
     /// Records an answer or a failure. Errors, missing answers and broken connections weigh alike.
-    pub(super) fn note(&mut self, now: Ms, keep: Ms, failed: bool) {
+    pub(super) fn record(&mut self, now: Ms, keep: Ms, failed: bool) {
         let part = 0.5f64.powf((now - self.updated_at) / keep);
         (self.successes, self.failures, self.updated_at) = (self.successes * part, self.failures * part, now);
         if failed {
@@ -54,31 +54,32 @@
     /// Reduces the limit of attempts in flight at the worker after a late, full or abandoned attempt, at
     /// most once in the time `took`, so that one episode counts once.
     pub(super) fn reduce_limit(&mut self, now: Ms, took: Ms) {
-        if now > self.limit_cut_at + took {
-            (self.in_flight_limit, self.limit_cut_at) =
+        if now > self.limit_reduced_at + took {
+            (self.in_flight_limit, self.limit_reduced_at) =
                 ((self.in_flight_limit * LIMIT_DECREASE_FACTOR).max(1.0), now);
         }
     }
 
     /// Time of its last start, as far as known: 0 for long ago.
-    pub(super) fn started(&self) -> Ms {
+    pub(super) fn started_at(&self) -> Ms {
         self.born.max(self.connect_failed_at)
     }
 
     /// Whether the worker started recently and is still in slow start.
-    pub(super) fn cold(&self, now: Ms, settings: &Settings) -> bool {
-        self.started() > 0.0 && now < self.started() + settings.cold_span
+    pub(super) fn is_cold(&self, now: Ms, settings: &Settings) -> bool {
+        self.started_at() > 0.0 && now < self.started_at() + settings.cold_span
     }
 
     /// Whether the worker is ranked at full capacity although it is cold: this invoker has had no call for
     /// it since its start, and invokers are few.
-    pub(super) fn untried(&self, settings: &Settings) -> bool {
-        self.cold_demand.last <= 0.0 && f64::from(settings.front_ends) <= UNRESTRICTED_FIRST_CALLS
+    pub(super) fn is_untried(&self, settings: &Settings) -> bool {
+        self.cold_demand.last_added_at <= 0.0 && f64::from(settings.front_ends) <= UNRESTRICTED_FIRST_CALLS
     }
 
     /// Present capacity of the worker as a part of its full capacity: 1 unless it is cold.
     pub(super) fn warmth(&self, now: Ms, settings: &Settings) -> f64 {
-        let age = if self.cold(now, settings) { (now - self.started()) / settings.cold_span } else { 1.0 };
+        let age =
+            if self.is_cold(now, settings) { (now - self.started_at()) / settings.cold_span } else { 1.0 };
         settings.cold_from + (1.0 - settings.cold_from) * age.clamp(0.0, 1.0)
     }
 }
--- a/src/policy/loading.rs
+++ b/src/policy/loading.rs
@@ -14,17 +14,17 @@
         }
         (model.queried_at, model.open_queries) = (now, 0);
         let mut zones = BTreeSet::new();
-        for at in model.preferred.iter() {
-            let Some(worker) = self.workers.get_mut(&at) else { continue };
+        for worker_id in model.preferred.iter() {
+            let Some(worker) = self.workers.get_mut(&worker_id) else { continue };
             let recently_unreachable =
                 worker.connect_failed_at > 0.0 && now < worker.connect_failed_at + self.settings.fall_span;
-            let known_absent = model.entries.get(&at).is_some_and(|entry| entry.absent_until > now);
+            let known_absent = model.entries.get(&worker_id).is_some_and(|entry| entry.absent_until > now);
             if worker.full_until <= now && !recently_unreachable && zones.insert(worker.zone) && !known_absent
             {
                 worker.known_models.insert(model_id);
-                model.entries.entry(at).or_default();
+                model.entries.entry(worker_id).or_default();
                 model.open_queries += 1;
-                actions.push(Action::Load { worker: at, model: model_id, copies: 0 });
+                actions.push(Action::Load { worker: worker_id, model: model_id, copies: 0 });
             }
         }
         model.open_queries > 0
@@ -95,16 +95,16 @@
     }
 
     /// Evicts idle models at a worker, drawn at random by weight, until the model fits into its memory.
-    pub(super) fn evict_for(&mut self, at: WorkerId, model_id: ModelId, actions: &mut Vec<Action>) {
-        let Some(worker) = self.workers.get(&at) else { return };
+    pub(super) fn evict_for(&mut self, worker_id: WorkerId, model_id: ModelId, actions: &mut Vec<Action>) {
+        let Some(worker) = self.workers.get(&worker_id) else { return };
         let Some(&total_mb) = self.settings.kind_memory.get(worker.kind) else { return };
         let mut placed_mb = self.models.get(&model_id).map_or(0.0, |model| model.memory);
         let mut idle: Vec<(ModelId, f64, f64)> = Vec::new();
         for &id in worker.known_models.iter().filter(|id| **id != model_id) {
             let Some(model) = self.models.get(&id) else { continue };
-            let Some(entry) = model.entries.get(&at) else { continue };
+            let Some(entry) = model.entries.get(&worker_id) else { continue };
             let is_loaded = entry.is_loaded(self.now, self.settings.keep);
-            let loading = self.loads_in_progress.contains(&(id, at));
+            let loading = self.loads_in_progress.contains(&(id, worker_id));
             if is_loaded || loading {
                 let held_mb = model.memory * f64::from(entry.copies.max(1));
                 placed_mb += held_mb;
@@ -117,17 +117,18 @@
             let Ok(&(id, held_mb, _)) = idle.choose_weighted(&mut self.rng, |victim| victim.2) else { break };
             idle.retain(|victim| victim.0 != id);
             placed_mb -= held_mb;
-            if let Some(entry) = self.models.get_mut(&id).and_then(|model| model.entries.get_mut(&at)) {
+            if let Some(entry) = self.models.get_mut(&id).and_then(|model| model.entries.get_mut(&worker_id))
+            {
                 entry.copies = 0;
             }
-            actions.push(Action::Evict { worker: at, model: id });
+            actions.push(Action::Evict { worker: worker_id, model: id });
         }
     }
 
     /// The eviction weight of the paper, size / (frequency + recency): the frequency decays by half in each
     /// keep time, the recency lies between 0 and 1.
     pub(super) fn eviction_weight(&self, model: &Model) -> f64 {
-        let age = (self.now - model.recent_calls.last).max(0.0) / self.settings.keep;
+        let age = (self.now - model.recent_calls.last_added_at).max(0.0) / self.settings.keep;
         model.memory.max(1.0) / (model.recent_calls.at(self.now, self.settings.keep) + 1.0 / (1.0 + age))
     }
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -34,7 +34,8 @@
 use rand::{rngs::SmallRng, seq::IndexedRandom, Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Concurrent loads of one model; also the initial limit on all loads that this invoker has ordered.
+/// Maximum number of concurrent loads of one model; also the initial limit on all loads that this invoker
+/// has ordered.
 const MAX_LOADS_PER_MODEL: usize = 2;
 /// Weight of the newest sample in exponential moving averages.
 const NEWEST_SAMPLE_WEIGHT: f64 = 0.2;
@@ -66,11 +67,11 @@
     /// The ready workers.
     fleet: Fleet,
     /// The ready workers that are cold.
-    cold: ColdWorkers,
+    cold_workers: ColdWorkers,
     /// Cold ready workers that came back under a new incarnation and have had no call since.
-    returned: BTreeSet<WorkerId>,
+    returned_workers: BTreeSet<WorkerId>,
     /// Ready workers that answered "full", with the time until which that counts.
-    full: BTreeMap<WorkerId, Ms>,
+    full_workers: BTreeMap<WorkerId, Ms>,
     models: BTreeMap<ModelId, Model>,
     /// Models with waiting calls.
     backlogged_models: BTreeSet<ModelId>,
@@ -129,9 +130,9 @@
             seq: 0,
             workers: BTreeMap::new(),
             fleet: Fleet::default(),
-            cold: ColdWorkers::default(),
-            returned: BTreeSet::new(),
-            full: BTreeMap::new(),
+            cold_workers: ColdWorkers::default(),
+            returned_workers: BTreeSet::new(),
+            full_workers: BTreeMap::new(),
             models: BTreeMap::new(),
             backlogged_models: BTreeSet::new(),
             pending: BTreeMap::new(),
@@ -195,7 +196,7 @@
             self.next_tick_at = self.now + timer_period;
             actions.push(Action::Timer { token: 0, delay: timer_period });
             let effective_workers = self.effective_worker_count();
-            self.effective_workers.note(self.now, effective_workers, self.settings.keep);
+            self.effective_workers.record(self.now, effective_workers, self.settings.keep);
             if self.settings.roster_on_request
                 && self.now - self.last_subscribed_at > self.settings.ask_within / 4.0
             {
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -83,7 +83,7 @@
             error || outcome == Outcome::ConnectFailed || outcome == Outcome::Reset && !is_repeated_reset;
         if failed || outcome == Outcome::Ok {
             update_moving_average(&mut self.failure_rate[class], f64::from(u8::from(failed)));
-            worker.health[class].note(now, keep, failed);
+            worker.health[class].record(now, keep, failed);
         }
         let usual_latency_ms = &mut self.usual_latency_ms[class];
         match outcome {
@@ -116,11 +116,11 @@
                 worker.full_until = now + *usual_latency_ms;
                 worker.reduce_limit(now, *usual_latency_ms);
                 if worker.ready {
-                    self.full.insert(sent_attempt.worker, worker.full_until);
+                    self.full_workers.insert(sent_attempt.worker, worker.full_until);
                 }
                 // Other workers may have room: shed load only when more than half of them are full.
-                self.full.retain(|_, until| *until > now);
-                shed_change = if 2 * self.full.len() > self.fleet.len() {
+                self.full_workers.retain(|_, until| *until > now);
+                shed_change = if 2 * self.full_workers.len() > self.fleet.len() {
                     SHED_STEP * (1.0 - TOLERATED_LATE_RATIO)
                 } else {
                     0.0
@@ -141,7 +141,7 @@
     pub(super) fn note_connect_failure(&mut self, id: WorkerId) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(&id) else { return };
-        worker.health.iter_mut().for_each(|health| health.note(now, self.settings.keep, true));
+        worker.health.iter_mut().for_each(|health| health.record(now, self.settings.keep, true));
         let died = worker.reset_at > 0.0 && now < worker.reset_at + self.settings.keep;
         worker.connect_failed_at = now;
         for model in worker.known_models.iter().filter(|_| died) {
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -20,7 +20,7 @@
         model.lanes = request.lanes.clamp(1.0, 1e6);
         // The first call of a model and repeats of a request don't add to the load quota: clients can make
         // up model names and repeat requests at will.
-        if model.recent_calls.last > 0.0 {
+        if model.recent_calls.last_added_at > 0.0 {
             self.recent_requests.add(self.now, id, self.settings.load_window);
         }
         model.recent_calls.add(self.now, self.settings.keep);
--- a/src/policy/roster.rs
+++ b/src/policy/roster.rs
@@ -33,7 +33,7 @@
         let entries = match roster {
             Roster::Changes(entries) => entries,
             Roster::Whole(entries) | Roster::Remembered(entries) => {
-                self.remove_unlisted(&entries);
+                self.mark_unlisted_gone(&entries);
                 entries
             }
             Roster::Refused => return,
@@ -42,7 +42,7 @@
     }
 
     /// Marks workers that a complete list doesn't contain as gone.
-    fn remove_unlisted(&mut self, entries: &[RosterEntry]) {
+    fn mark_unlisted_gone(&mut self, entries: &[RosterEntry]) {
         let listed: BTreeSet<WorkerId> = entries.iter().map(|entry| entry.worker).collect();
         let is_unlisted = |entry: &(&WorkerId, &Worker)| !listed.contains(entry.0) && !entry.1.gone;
         let unlisted: Vec<WorkerId> = self.workers.iter().filter(is_unlisted).map(|(id, _)| *id).collect();
@@ -69,7 +69,7 @@
                 }
             }
             self.loads_in_progress.retain(|load| load.1 != entry.worker);
-            self.full.remove(&entry.worker);
+            self.full_workers.remove(&entry.worker);
             let health = vec![
                 Health { updated_at: self.now, ..Health::default() };
                 self.settings.classes.len().max(1)
@@ -99,34 +99,34 @@
         let Some(worker) = self.workers.get(&id) else { return };
         if !worker.ready {
             self.fleet.remove(id);
-            self.cold.remove(id);
-            self.returned.remove(&id);
-            self.full.remove(&id);
+            self.cold_workers.remove(id);
+            self.returned_workers.remove(&id);
+            self.full_workers.remove(&id);
             return;
         }
         let side = if worker.zone == self.settings.zone { Side::Own } else { Side::Foreign };
         self.fleet.set(side, RankedWorker { id, hash: worker.hash, weight: worker.weight });
         if worker.full_until > self.now {
-            self.full.insert(id, worker.full_until);
+            self.full_workers.insert(id, worker.full_until);
         }
-        if !worker.cold(self.now, &self.settings) {
-            return self.cold.remove(id);
+        if !worker.is_cold(self.now, &self.settings) {
+            return self.cold_workers.remove(id);
         }
-        self.cold.set(id, worker.weight, worker.started().min(self.now), self.settings.cold_span);
-        if worker.incarnation > 1 && worker.untried(&self.settings) {
-            self.returned.insert(id);
+        self.cold_workers.set(id, worker.weight, worker.started_at().min(self.now), self.settings.cold_span);
+        if worker.incarnation > 1 && worker.is_untried(&self.settings) {
+            self.returned_workers.insert(id);
         }
     }
 
     /// Capacity of the ready workers, cold ones at their present capacity, as a number of warm workers of
     /// mean weight.
     pub(super) fn effective_worker_count(&mut self) -> f64 {
-        while let Some(warm) = self.cold.pop_warm(self.now) {
-            self.returned.remove(&warm);
+        while let Some(warm) = self.cold_workers.pop_warm(self.now) {
+            self.returned_workers.remove(&warm);
         }
-        let (settings, cold) = (&self.settings, self.cold.weight());
+        let (settings, cold) = (&self.settings, self.cold_workers.weight());
         let warmed = settings.cold_from * cold
-            + (1.0 - settings.cold_from) * self.cold.weighted_age(self.now, settings.cold_span);
+            + (1.0 - settings.cold_from) * self.cold_workers.weighted_age(self.now, settings.cold_span);
         (self.fleet.weight() - cold + warmed) / self.fleet.mean_weight()
     }
 }
--- a/src/policy/routing.rs
+++ b/src/policy/routing.rs
@@ -39,12 +39,12 @@
     /// weigh in: a worker known to answer is preferred while many fail, and none is avoided when all fail
     /// alike.
     pub(super) fn failure_odds(&self, worker: &Worker, class: usize) -> f64 {
-        let faded = |health: &Health| 0.5f64.powf((self.now - health.updated_at) / self.settings.keep);
-        let all: f64 = worker.health.iter().map(|health| health.failures * faded(health)).sum();
+        let decay = |health: &Health| 0.5f64.powf((self.now - health.updated_at) / self.settings.keep);
+        let all: f64 = worker.health.iter().map(|health| health.failures * decay(health)).sum();
         let own = &worker.health[class];
-        let (good, own) = (own.successes * faded(own), own.failures * faded(own));
-        let bad = own + (all - own) / (1.0 + good);
-        (bad + self.failure_rate[class]) / (good + 1.0 - self.failure_rate[class]).max(0.01)
+        let (successes, own) = (own.successes * decay(own), own.failures * decay(own));
+        let failures = own + (all - own) / (1.0 + successes);
+        (failures + self.failure_rate[class]) / (successes + 1.0 - self.failure_rate[class]).max(0.01)
     }
 
     /// Whether a worker may get a call now: it is ready, not full, below its limit and within the call's
@@ -146,7 +146,7 @@
         if is_expensive {
             self.order_load(id, model_id, actions);
         }
-        found.best.is_some_and(|(_, at)| self.send(id, at, actions))
+        found.best.is_some_and(|(_, worker_id)| self.send(id, worker_id, actions))
     }
 
     /// Whether copies in other zones are found by sending calls there instead of by queries: where a query
@@ -156,22 +156,23 @@
             && 2.0 * self.settings.price_probe > self.settings.price_cross
     }
 
-    pub(super) fn send(&mut self, id: RequestId, at: WorkerId, actions: &mut Vec<Action>) -> bool {
+    pub(super) fn send(&mut self, id: RequestId, worker_id: WorkerId, actions: &mut Vec<Action>) -> bool {
         let (now, keep) = (self.now, self.settings.keep);
-        let (Some(pending), Some(worker)) = (self.pending.get_mut(&id), self.workers.get_mut(&at)) else {
+        let (Some(pending), Some(worker)) = (self.pending.get_mut(&id), self.workers.get_mut(&worker_id))
+        else {
             return true;
         };
         let (class, model, attempt) = (pending.request.class, pending.request.model, pending.attempts);
         worker.in_flight += 1;
         worker.recent_sends.add(now, self.settings.fall_span.min(self.settings.cold_span));
         (pending.attempts, pending.in_flight) = (attempt + 1, pending.in_flight + 1);
-        pending.may_have_run.push((attempt, at, now));
-        let entry = self.models.entry(model).or_default().entries.entry(at).or_default();
+        pending.may_have_run.push((attempt, worker_id, now));
+        let entry = self.models.entry(model).or_default().entries.entry(worker_id).or_default();
         entry.in_flight += 1;
         worker.known_models.insert(model);
         let (warm, incarnation) = (entry.is_loaded(now, keep), worker.incarnation);
         let sent_attempt = InFlightAttempt {
-            worker: at,
+            worker: worker_id,
             incarnation,
             model,
             class,
@@ -181,7 +182,7 @@
         };
         self.schedule(now + self.answer_timeout(&sent_attempt), ScheduledTask::CheckAnswer(id, attempt));
         self.attempts_in_flight.insert((id, attempt), sent_attempt);
-        actions.push(Action::Send { id, worker: at, within: 0.0 });
+        actions.push(Action::Send { id, worker: worker_id, within: 0.0 });
         true
     }
 
@@ -213,7 +214,7 @@
     ) -> Option<T> {
         let step = (self.now / RANKING_STEP_MS) as u64;
         let of_worker = warmth_in(step, &self.workers, &self.settings);
-        let warmth = WorkerWarmth { of_worker: (!self.cold.is_empty()).then_some(&of_worker) };
+        let warmth = WorkerWarmth { of_worker: (!self.cold_workers.is_empty()).then_some(&of_worker) };
         let model = self.models.get_mut(&model_id)?;
         Some(update(&mut model.preferred, &self.fleet, step, &warmth))
     }
@@ -227,7 +228,9 @@
     settings: &'a Settings,
 ) -> impl Fn(WorkerId) -> f64 + 'a {
     move |id| match workers.get(&id) {
-        Some(worker) if !worker.untried(settings) => worker.warmth(step as f64 * RANKING_STEP_MS, settings),
+        Some(worker) if !worker.is_untried(settings) => {
+            worker.warmth(step as f64 * RANKING_STEP_MS, settings)
+        }
         _ => 1.0,
     }
 }
--- a/src/policy/survey.rs
+++ b/src/policy/survey.rs
@@ -25,8 +25,8 @@
     /// Searches for the best worker for a call, without the cold workers that the call has to avoid.
     pub(super) fn search_workers(&self, pending: &PendingRequest, may_order: bool) -> Option<SearchResult> {
         let model = self.models.get(&pending.request.model)?;
-        if let Some(at) = self.untried_returned_worker(pending) {
-            let best = Some(((false, false, 0.0), at));
+        if let Some(worker_id) = self.untried_returned_worker(pending) {
+            let best = Some(((false, false, 0.0), worker_id));
             return Some(SearchResult { best, copy_known: true, ..SearchResult::default() });
         }
         let misses = self.settings.lacking == Lacking::Misses;
@@ -49,22 +49,23 @@
     /// The first, in the model's order of preference, of the workers that came back and have had no call
     /// since. Such a worker gets one call even if copies are loaded elsewhere.
     fn untried_returned_worker(&self, pending: &PendingRequest) -> Option<WorkerId> {
-        let candidates = self.returned.iter().filter(|_| pending.attempts == 0).filter_map(|&at| {
-            let worker = self.workers.get(&at).filter(|worker| {
-                worker.cold(self.now, &self.settings)
-                    && worker.untried(&self.settings)
-                    && self.accepts(worker, pending)
-            })?;
-            let fails = self.failure_odds(worker, pending.request.class)
-                > 1.0 + self.overall_failure_odds(pending.request.class);
-            let would_risk_unsafe =
-                self.settings.classes[pending.request.class].effect == Effect::Unsafe && fails;
-            let (side, ranked) = self
-                .fleet
-                .get(at)
-                .filter(|_| !would_risk_unsafe && !self.avoids_cold_worker(pending, worker, at))?;
-            Some((side, preferred_workers::rank(&ranked, pending.request.model), at))
-        });
+        let candidates =
+            self.returned_workers.iter().filter(|_| pending.attempts == 0).filter_map(|&worker_id| {
+                let worker = self.workers.get(&worker_id).filter(|worker| {
+                    worker.is_cold(self.now, &self.settings)
+                        && worker.is_untried(&self.settings)
+                        && self.accepts(worker, pending)
+                })?;
+                let fails = self.failure_odds(worker, pending.request.class)
+                    > 1.0 + self.overall_failure_odds(pending.request.class);
+                let would_risk_unsafe =
+                    self.settings.classes[pending.request.class].effect == Effect::Unsafe && fails;
+                let (side, ranked) = self
+                    .fleet
+                    .get(worker_id)
+                    .filter(|_| !would_risk_unsafe && !self.avoids_cold_worker(pending, worker, worker_id))?;
+                Some((side, preferred_workers::rank(&ranked, pending.request.model), worker_id))
+            });
         candidates.min_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1))).map(|candidate| candidate.2)
     }
 
@@ -92,25 +93,25 @@
                 break;
             }
             self.examined.push(candidate.worker);
-            self.consider(candidate.worker);
+            self.examine(candidate.worker);
         }
         let keep = self.dispatcher.settings.keep;
-        for (&at, entry) in &model.entries {
-            if !entry.is_loaded(self.dispatcher.now, keep) || self.examined.contains(&at) {
+        for (&worker_id, entry) in &model.entries {
+            if !entry.is_loaded(self.dispatcher.now, keep) || self.examined.contains(&worker_id) {
                 continue;
             }
-            if self.dispatcher.fleet.get(at).is_some_and(|(group, _)| group == side) {
-                self.consider(at);
+            if self.dispatcher.fleet.get(worker_id).is_some_and(|(group, _)| group == side) {
+                self.examine(worker_id);
             }
         }
     }
 
-    fn consider(&mut self, at: WorkerId) {
+    fn examine(&mut self, worker_id: WorkerId) {
         let WorkerSearch { dispatcher, pending, model, .. } = *self;
         let (model_id, class, now, settings) =
             (pending.request.model, pending.request.class, dispatcher.now, &dispatcher.settings);
-        let Some(worker) = dispatcher.workers.get(&at) else { return };
-        let entry = model.entries.get(&at);
+        let Some(worker) = dispatcher.workers.get(&worker_id) else { return };
+        let entry = model.entries.get(&worker_id);
         let is_loaded = entry.is_some_and(|entry| entry.is_loaded(now, settings.keep));
         let finds_copies_by_calls = dispatcher.finds_copies_by_calls();
         // Cold workers outside the first zone searched are left out: they hold few copies, and their
@@ -118,9 +119,9 @@
         let within_reach = self.healthy_zones.is_empty()
             || finds_copies_by_calls
                 && !self.healthy_zones.contains(&worker.zone)
-                && !worker.cold(now, settings);
+                && !worker.is_cold(now, settings);
         if !(is_loaded || within_reach)
-            || dispatcher.avoids_cold_worker(pending, worker, at)
+            || dispatcher.avoids_cold_worker(pending, worker, worker_id)
             || !dispatcher.accepts(worker, pending)
         {
             return;
@@ -134,7 +135,7 @@
             return;
         }
         let no_load_pending = entry.is_none_or(|entry| entry.absent_until <= now)
-            && !dispatcher.loads_in_progress.contains(&(model_id, at));
+            && !dispatcher.loads_in_progress.contains(&(model_id, worker_id));
         let may_try = within_reach && self.may_try_unloaded && (no_load_pending || !self.may_order);
         if !is_loaded && !may_try {
             return;
@@ -150,10 +151,10 @@
             queue < MAX_QUEUE_AIM_RATIO * aim
         };
         // Workers where an earlier attempt may have run are tried last.
-        let cost = cost + if pending.may_have_run.iter().any(|ran| ran.1 == at) { aim } else { 0.0 };
+        let cost = cost + if pending.may_have_run.iter().any(|ran| ran.1 == worker_id) { aim } else { 0.0 };
         let key = (is_foreign, is_foreign && finds_copies_by_calls && !is_loaded, cost);
         if fits && self.found.best.is_none_or(|best| key < best.0) {
-            self.found.best = Some((key, at));
+            self.found.best = Some((key, worker_id));
         }
     }
 }
--- a/src/policy/timers.rs
+++ b/src/policy/timers.rs
@@ -17,9 +17,11 @@
                 ScheduledTask::CheckAnswer(id, attempt) => self.check_overdue(id, attempt, actions),
                 // A load order without a result for this long counts as lost; the load may go to another
                 // worker.
-                ScheduledTask::CheckLoadOrder(model, at) if self.loads_in_progress.remove(&(model, at)) => {
+                ScheduledTask::CheckLoadOrder(model, worker_id)
+                    if self.loads_in_progress.remove(&(model, worker_id)) =>
+                {
                     let until = self.now + self.load_ms;
-                    self.workers.entry(at).and_modify(|worker| worker.no_room_until = until);
+                    self.workers.entry(worker_id).and_modify(|worker| worker.no_room_until = until);
                 }
                 ScheduledTask::ExpireRequest(_) | ScheduledTask::CheckLoadOrder(..) => {}
                 ScheduledTask::Sweep => self.sweep(),
@@ -29,16 +31,17 @@
 
     /// Handles an attempt without an answer for far longer than usual. If the worker answered other calls
     /// of the class since, the attempt counts as lost at first. Otherwise, or after a second timeout, it
-    /// counts as a failure of the worker.
+    /// counts as a failure of the worker, and it is cancelled if its request can be retried elsewhere.
     pub(super) fn check_overdue(&mut self, id: RequestId, attempt: u32, actions: &mut Vec<Action>) {
         let Some(sent_attempt) = self.attempts_in_flight.get(&(id, attempt)) else { return };
         let (answer_timeout, since) =
             (self.answer_timeout(sent_attempt), sent_attempt.sent_at.max(self.running_since));
-        let (class, at) = (sent_attempt.class, sent_attempt.worker);
+        let (class, worker_id) = (sent_attempt.class, sent_attempt.worker);
         if since + answer_timeout > self.now + 2.0 * (self.timer_period() + self.settings.tick) {
             return self.schedule(since + answer_timeout, ScheduledTask::CheckAnswer(id, attempt));
         }
-        let Some(worker) = self.workers.get_mut(&at).filter(|w| w.incarnation == sent_attempt.incarnation)
+        let Some(worker) =
+            self.workers.get_mut(&worker_id).filter(|w| w.incarnation == sent_attempt.incarnation)
         else {
             return;
         };
@@ -48,12 +51,17 @@
             self.attempts_in_flight.entry((id, attempt)).and_modify(|sent_attempt| sent_attempt.lost = true);
             self.schedule(self.now + answer_timeout, ScheduledTask::CheckAnswer(id, attempt));
         } else {
-            worker.health[class].note(self.now, self.settings.keep, true);
+            worker.health[class].record(self.now, self.settings.keep, true);
             update_moving_average(&mut self.failure_rate[class], 1.0);
-            let more = |p: &PendingRequest| p.attempts < self.settings.max_attempts && !p.streaming;
-            let may =
-                self.pending.get(&id).is_some_and(more) && self.settings.cancel && self.retry_budget >= 1.0;
-            if may && self.settings.classes[class].effect == Effect::Repeatable && !sent_attempt.cancelled {
+            let has_attempts_left =
+                |p: &PendingRequest| p.attempts < self.settings.max_attempts && !p.streaming;
+            let may_retry = self.pending.get(&id).is_some_and(has_attempts_left)
+                && self.settings.cancel
+                && self.retry_budget >= 1.0;
+            if may_retry
+                && self.settings.classes[class].effect == Effect::Repeatable
+                && !sent_attempt.cancelled
+            {
                 self.attempts_in_flight
                     .entry((id, attempt))
                     .and_modify(|sent_attempt| sent_attempt.cancelled = true);
@@ -69,12 +77,12 @@
         self.schedule(now + keep + 4.0 * (self.timer_period() + self.settings.tick), ScheduledTask::Sweep);
         self.workers.retain(|_, worker| !worker.gone || worker.in_flight > 0);
         for (model_id, model) in &mut self.models {
-            model.preferred.narrow();
-            model.entries.retain(|at, entry| {
-                let loading = self.loads_in_progress.contains(&(*model_id, *at));
+            model.preferred.reset_widened();
+            model.entries.retain(|worker_id, entry| {
+                let loading = self.loads_in_progress.contains(&(*model_id, *worker_id));
                 let used =
                     entry.in_flight > 0 || loading || now - entry.confirmed_at < FORGET_AFTER_KEEPS * keep;
-                let worker = self.workers.get_mut(at);
+                let worker = self.workers.get_mut(worker_id);
                 let kept = used && worker.is_some();
                 worker
                     .filter(|_| !kept)
@@ -87,7 +95,7 @@
         // Models that were never loaded anywhere are forgotten sooner: clients can make up any number of
         // names.
         let kept = |model: &Model| if model.known_to_exist { FORGET_AFTER_KEEPS * keep } else { keep };
-        self.models.retain(|_, model| used(model) || now - model.recent_calls.last < kept(model));
+        self.models.retain(|_, model| used(model) || now - model.recent_calls.last_added_at < kept(model));
     }
 
     /// Forgets models until `bytes` bytes are freed: those never loaded first, then the least recently
@@ -96,19 +104,19 @@
     pub fn forget(&mut self, bytes: usize) -> usize {
         let (mut idle, mut freed) = (Vec::new(), 0);
         for (model_id, model) in &self.models {
-            let busy = |at, entry: &CopyEntry| {
-                entry.in_flight > 0 || self.loads_in_progress.contains(&(*model_id, at))
+            let busy = |worker_id, entry: &CopyEntry| {
+                entry.in_flight > 0 || self.loads_in_progress.contains(&(*model_id, worker_id))
             };
             if model.waiting.is_empty() && !model.entries.iter().any(|entry| busy(*entry.0, entry.1)) {
-                idle.push((model.known_to_exist, model.recent_calls.last, *model_id));
+                idle.push((model.known_to_exist, model.recent_calls.last_added_at, *model_id));
             }
         }
         idle.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
         for (_, _, model_id) in idle {
             let Some(model) = (freed < bytes).then(|| self.models.remove(&model_id)).flatten() else { break };
             freed += model.bytes();
-            for at in model.entries.keys() {
-                self.workers.entry(*at).and_modify(|worker| _ = worker.known_models.remove(&model_id));
+            for worker_id in model.entries.keys() {
+                self.workers.entry(*worker_id).and_modify(|worker| _ = worker.known_models.remove(&model_id));
             }
         }
         freed
--- a/src/preferred_workers.rs
+++ b/src/preferred_workers.rs
@@ -50,7 +50,7 @@
 }
 
 impl WorkerWarmth<'_> {
-    fn is_full(&self) -> bool {
+    fn all_warm(&self) -> bool {
         self.of_worker.is_none()
     }
 
@@ -67,21 +67,21 @@
     /// The highest rank held; infinite if all workers of the side are held.
     last_rank: f32,
     /// Target number of workers.
-    wanted: usize,
+    target_len: usize,
 }
 
 impl Ranking {
-    fn new(wanted: usize) -> Self {
-        Ranking { workers: Vec::new(), last_rank: 0.0, wanted }
+    fn new(target_len: usize) -> Self {
+        Ranking { workers: Vec::new(), last_rank: 0.0, target_len }
     }
 
     /// Ranks all workers of a side again and keeps the first ones.
     fn rebuild(&mut self, group: &ZoneGroup, model: ModelId) {
         let model_hash = mix_bits(model.0);
         let members = group.members.len();
-        let is_whole = members <= 2 * self.wanted;
+        let is_whole = members <= 2 * self.target_len;
         let mut last_rank =
-            if is_whole { f32::INFINITY } else { (self.wanted as f64 / group.ranking_weight) as f32 };
+            if is_whole { f32::INFINITY } else { (self.target_len as f64 / group.ranking_weight) as f32 };
         loop {
             self.workers.clear();
             for worker in &group.members {
@@ -95,13 +95,13 @@
                     self.workers.push(PreferredWorker { rank, worker: worker.id });
                 }
             }
-            if is_whole || self.workers.len() >= self.wanted / 2 {
+            if is_whole || self.workers.len() >= self.target_len / 2 {
                 break;
             }
             last_rank *= 2.0;
         }
         self.last_rank = last_rank;
-        self.workers.shrink_to(2 * self.wanted);
+        self.workers.shrink_to(2 * self.target_len);
     }
 
     fn holds_all(&self) -> bool {
@@ -115,15 +115,15 @@
     }
 
     fn remove(&mut self, worker: WorkerId) {
-        if let Some(place) = self.workers.iter().position(|candidate| candidate.worker == worker) {
-            self.workers.swap_remove(place);
+        if let Some(position) = self.workers.iter().position(|candidate| candidate.worker == worker) {
+            self.workers.swap_remove(position);
         }
     }
 
     /// Rebuilds the ranking if it has become too short or too long.
-    fn settle(&mut self, group: &ZoneGroup, model: ModelId) {
-        if !self.holds_all() && self.workers.len() < self.wanted / 2
-            || self.workers.len() > OVERGROWTH_FACTOR * self.wanted
+    fn rebuild_if_needed(&mut self, group: &ZoneGroup, model: ModelId) {
+        if !self.holds_all() && self.workers.len() < self.target_len / 2
+            || self.workers.len() > OVERGROWTH_FACTOR * self.target_len
         {
             self.rebuild(group, model);
         }
@@ -140,7 +140,7 @@
     /// The last step in which the rankings were extended.
     widened_in: Option<u64>,
     /// All workers were warm when the order was computed.
-    is_warm: bool,
+    sorted_all_warm: bool,
 }
 
 impl Default for PreferredWorkers {
@@ -150,7 +150,7 @@
             revision: None,
             step: 0,
             widened_in: None,
-            is_warm: false,
+            sorted_all_warm: false,
         }
     }
 }
@@ -159,7 +159,7 @@
     /// Applies changes of the fleet and sorts by the warmth of workers in this step.
     pub fn refresh(&mut self, fleet: &Fleet, model: ModelId, step: u64, warmth: &WorkerWarmth<'_>) {
         let is_current = self.revision == Some(fleet.revision());
-        let is_in_order = self.step == step || self.is_warm && warmth.is_full();
+        let is_in_order = self.step == step || self.sorted_all_warm && warmth.all_warm();
         if is_current && is_in_order {
             self.step = step;
             return;
@@ -170,7 +170,7 @@
             None => self.rebuild(fleet, model),
         }
         for side in SIDES {
-            self.rankings[side as usize].settle(fleet.group(side), model);
+            self.rankings[side as usize].rebuild_if_needed(fleet.group(side), model);
         }
         (self.revision, self.step) = (Some(fleet.revision()), step);
         self.sort(warmth);
@@ -185,8 +185,8 @@
         }
         for side in SIDES {
             let ranking = &mut self.rankings[side as usize];
-            if !ranking.holds_all() && ranking.wanted < MAX_WORKERS {
-                ranking.wanted = (WIDEN_FACTOR * ranking.wanted).min(MAX_WORKERS);
+            if !ranking.holds_all() && ranking.target_len < MAX_WORKERS {
+                ranking.target_len = (WIDEN_FACTOR * ranking.target_len).min(MAX_WORKERS);
                 ranking.rebuild(fleet.group(side), model);
                 is_wider = true;
             }
@@ -198,8 +198,8 @@
     }
 
     /// Resets rankings that were extended.
-    pub fn narrow(&mut self) {
-        if self.rankings.iter().zip(INITIAL_WORKERS).any(|(ranking, first)| ranking.wanted > first) {
+    pub fn reset_widened(&mut self) {
+        if self.rankings.iter().zip(INITIAL_WORKERS).any(|(ranking, first)| ranking.target_len > first) {
             *self = PreferredWorkers::default();
         }
     }
@@ -221,14 +221,14 @@
     fn sort(&mut self, warmth: &WorkerWarmth<'_>) {
         for ranking in &mut self.rankings {
             let workers = &mut ranking.workers;
-            if warmth.is_full() {
+            if warmth.all_warm() {
                 workers.sort_unstable_by(|a, b| a.rank.total_cmp(&b.rank).then(a.worker.cmp(&b.worker)));
             } else {
                 // The bit patterns of positive floats sort like their values.
                 workers.sort_by_cached_key(|candidate| (warmth.rank(candidate).to_bits(), candidate.worker));
             }
         }
-        self.is_warm = warmth.is_full();
+        self.sorted_all_warm = warmth.all_warm();
     }
 
     /// The preferred workers of one side, best first.
--- a/src/preferred_workers/tests.rs
+++ b/src/preferred_workers/tests.rs
@@ -116,7 +116,7 @@
         (MAX_WORKERS..=2 * OVERGROWTH_FACTOR * MAX_WORKERS).contains(&widest),
         "{widest} preferred workers"
     );
-    preferred.narrow();
+    preferred.reset_widened();
     assert_eq!(preferred.iter().count(), 0, "extended rankings are reset");
 }
 
--- a/src/state.rs
+++ b/src/state.rs
@@ -18,18 +18,18 @@
 pub(crate) struct DecayingCount {
     count: f64,
     /// When it was last added to.
-    pub last: Ms,
+    pub last_added_at: Ms,
 }
 
 impl DecayingCount {
     /// The decayed count.
     pub fn at(&self, now: Ms, keep: Ms) -> f64 {
-        self.count * 0.5f64.powf((now - self.last) / keep)
+        self.count * 0.5f64.powf((now - self.last_added_at) / keep)
     }
 
     /// Adds one and returns the new count.
     pub fn add(&mut self, now: Ms, keep: Ms) -> f64 {
-        (self.count, self.last) = (self.at(now, keep) + 1.0, now);
+        (self.count, self.last_added_at) = (self.at(now, keep) + 1.0, now);
         self.count
     }
 }
@@ -44,7 +44,7 @@
 
 impl DecayingAverage {
     /// Records the present value; the first one sets the average.
-    pub fn note(&mut self, now: Ms, value: f64, keep: Ms) {
+    pub fn record(&mut self, now: Ms, value: f64, keep: Ms) {
         let kept = self.last.map_or(0.0, |last| 0.5f64.powf((now - last) / keep));
         self.value = value + kept * (self.value - value);
         self.last = Some(now);
@@ -119,7 +119,7 @@
     /// late.
     pub in_flight: u32,
     pub in_flight_limit: f64,
-    pub limit_cut_at: Ms,
+    pub limit_reduced_at: Ms,
     pub health: Vec<Health>,
     /// Moving average of its latency over the usual latency of the class, and when it was last updated.
     pub latency_ratio: f64,
