--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -1,10 +1,10 @@
-//! The test command and the tests that it passes over, with a stand-in for cargo.
+//! The test script `.ci/test` and its list of skipped tests, with a fake cargo.
 use std::fs;
 use std::os::unix::fs::PermissionsExt;
 use std::path::PathBuf;
 use std::process::Command;
 
-/// Lists three tests, one of them in two programs, and writes down how it was called.
+/// A fake cargo that lists three tests, one of them in two programs, and records its arguments.
 const CARGO: &str = r#"#!/bin/bash
 echo "$*" >>calls
 if [[ " $* " == *" --list "* ]]; then
@@ -30,7 +30,7 @@
         Root(root)
     }
 
-    /// Whether the command passed, how cargo was called, and all that was printed.
+    /// Runs the script. Returns whether it passed, the arguments cargo was called with, and all output.
     fn run(&self) -> (bool, String, String) {
         let path = format!("{}:{}", self.0.join("bin").display(), std::env::var("PATH").expect("a path"));
         let output = Command::new("bash").arg(self.0.join(".ci/test")).env("PATH", path).output();
@@ -56,29 +56,29 @@
 }
 
 #[test]
-fn just_the_named_test_is_passed_over_and_printed() {
-    let (passed, calls, text) = Root::new("named", Some("link::one | a late word | issue 28\n")).run();
+fn only_the_named_test_is_skipped_and_printed() {
+    let (passed, calls, text) = Root::new("named", Some("link::one | a late answer | issue 28\n")).run();
     assert!(passed, "{text}");
     assert!(calls.ends_with("test --workspace -- --exact --skip link::one\n"), "{calls}");
-    assert!(text.contains("passed over: link::one | a late word | issue 28"), "{text}");
+    assert!(text.contains("passed over: link::one | a late answer | issue 28"), "{text}");
 }
 
 #[test]
 fn a_file_that_is_wrong_fails_before_any_test_is_run() {
     let four = "link::one | a | issue 1\n".repeat(4);
     let wrong = [
-        ("malformed", "link::one, a late word, issue 28\n", "form"),
+        ("malformed", "link::one, a late answer, issue 28\n", "form"),
         ("no-cause", "link::one |  | issue 28\n", "form"),
-        ("no-issue", "link::one | a late word\n", "form"),
-        ("no-test", "link::on | a late word | issue 28\n", "names 0 tests"),
-        ("ambiguous", "twice | a late word | issue 28\n", "names 2 tests"),
+        ("no-issue", "link::one | a late answer\n", "form"),
+        ("no-test", "link::on | a late answer | issue 28\n", "names 0 tests"),
+        ("ambiguous", "twice | a late answer | issue 28\n", "names 2 tests"),
         ("repeated", "link::one | a | issue 1\nlink::one | b | issue 2\n", "named twice"),
         ("blank", "link::one | a | issue 1\n\n", "form"),
         ("four", four.as_str(), "4 lines, 3 at most"),
     ];
     for (name, text, complaint) in wrong {
-        let (passed, calls, told) = Root::new(name, Some(text)).run();
-        assert!(!passed && told.contains(complaint), "{name}: {told}");
+        let (passed, calls, output) = Root::new(name, Some(text)).run();
+        assert!(!passed && output.contains(complaint), "{name}: {output}");
         assert!(!calls.contains("--exact") && !calls.ends_with("--workspace\n"), "{name}: {calls}");
     }
 }
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -1,122 +1,130 @@
-//! The mechanism of the paper, as the ordinary path follows it.
+//! The common path of routing, loading and eviction as described in the paper.
 mod support;
 use corkbay::*;
 use support::*;
 
-/// A front end that was told by questions that `holders` hold model 5.
-fn told(zones: &[usize], holders: &[u32], settings: Settings) -> (Front, Vec<Action>) {
+/// An invoker with one call of model 5 that learnt by queries that `holders` have a copy of it.
+fn invoker_with_copies(zones: &[usize], holders: &[u32], settings: Settings) -> (Invoker, Vec<Action>) {
     let entries = zones.iter().enumerate().map(|(at, zone)| entry(at as u32, *zone)).collect();
-    let mut front = Front::new(settings, entries);
-    let mut act = front.ask(call(1, 0, 5, 9000.0));
+    let mut invoker = Invoker::new(settings, entries);
+    let mut actions = invoker.request(call(1, 0, 5, 9000.0));
     for worker in holders {
-        act.extend(front.loaded(*worker, 5, Outcome::Ok, 1, 1.0));
+        actions.extend(invoker.loaded(*worker, 5, Outcome::Ok, 1, 1.0));
     }
-    for worker in questions(&act.clone()).into_iter().filter(|worker| !holders.contains(worker)) {
-        act.extend(front.loaded(worker, 5, Outcome::Ok, 0, 1.0));
+    for worker in queries(&actions.clone()).into_iter().filter(|worker| !holders.contains(worker)) {
+        actions.extend(invoker.loaded(worker, 5, Outcome::Ok, 0, 1.0));
     }
-    (front, act)
+    (invoker, actions)
 }
 
 #[test]
 fn a_call_goes_to_a_warm_instance_and_nothing_is_loaded() {
-    let (_, act) = told(&[0, 0, 0], &[1], settings());
-    assert_eq!(sends(&act), vec![(1, 1)]);
-    assert!(loads(&act).is_empty());
+    let (_, actions) = invoker_with_copies(&[0, 0, 0], &[1], settings());
+    assert_eq!(sends(&actions), vec![(1, 1)]);
+    assert!(loads(&actions).is_empty());
 }
 
 #[test]
 fn own_zone_before_another() {
-    let (mut front, _) = told(&[1, 0, 1], &[0, 1, 2], settings());
+    let (mut invoker, _) = invoker_with_copies(&[1, 0, 1], &[0, 1, 2], settings());
     for id in 2..4 {
-        let act = front.ask(call(id, 0, 5, 9000.0));
-        assert_eq!(sends(&act), vec![(id, 1)], "one lane of worker 1 is free each time");
-        front.end(id, 0, 1, Outcome::Ok);
+        let actions = invoker.request(call(id, 0, 5, 9000.0));
+        assert_eq!(sends(&actions), vec![(id, 1)], "one lane of worker 1 is free each time");
+        invoker.finish(id, 0, 1, Outcome::Ok);
     }
 }
 
 #[test]
 fn another_zone_only_when_cheaper_than_a_load() {
-    let (_, act) = told(&[0, 1], &[1], settings());
-    assert_eq!(sends(&act), vec![(1, 1)]);
-    let dear = Settings { price_cross: 50.0, ..settings() };
-    let (_, act) = told(&[0, 1], &[1], dear);
-    assert!(sends(&act).is_empty());
-    assert!(!loads(&act).is_empty() && loads(&act).iter().all(|load| *load == (0, 5)), "to the own zone");
+    let (_, actions) = invoker_with_copies(&[0, 1], &[1], settings());
+    assert_eq!(sends(&actions), vec![(1, 1)]);
+    let expensive_crossing = Settings { price_cross: 50.0, ..settings() };
+    let (_, actions) = invoker_with_copies(&[0, 1], &[1], expensive_crossing);
+    assert!(sends(&actions).is_empty());
+    assert!(
+        !loads(&actions).is_empty() && loads(&actions).iter().all(|load| *load == (0, 5)),
+        "loads go to the own zone"
+    );
 }
 
 #[test]
-fn a_load_is_ordered_in_the_own_zone_and_calls_wait_behind_it() {
-    let (mut front, act) = told(&[1, 0, 1], &[], settings());
-    assert_eq!(loads(&act), vec![(1, 5)]);
-    let act = front.ask(call(2, 0, 5, 9000.0));
-    assert!(sends(&act).is_empty(), "the call waits here");
-    let act = front.loaded(1, 5, Outcome::Ok, 1, 700.0);
-    assert_eq!(sends(&act).len(), 2, "both lanes of the copy are used at once");
+fn a_load_is_ordered_in_the_own_zone_and_calls_wait_for_it() {
+    let (mut invoker, actions) = invoker_with_copies(&[1, 0, 1], &[], settings());
+    assert_eq!(loads(&actions), vec![(1, 5)]);
+    let actions = invoker.request(call(2, 0, 5, 9000.0));
+    assert!(sends(&actions).is_empty(), "the call waits for the load");
+    let actions = invoker.loaded(1, 5, Outcome::Ok, 1, 700.0);
+    assert_eq!(sends(&actions).len(), 2, "both lanes of the copy are used at once");
 }
 
 #[test]
 fn at_most_two_loads_of_a_model_are_under_way() {
-    let (mut front, act) = told(&[0; 6], &[], settings());
-    let mut ordered = loads(&act).len();
+    let (mut invoker, actions) = invoker_with_copies(&[0; 6], &[], settings());
+    let mut ordered = loads(&actions).len();
     for id in 2..60 {
-        front.now += 50.0;
-        ordered += loads(&front.ask(call(id, 0, 5, 90000.0))).len();
+        invoker.now += 50.0;
+        ordered += loads(&invoker.request(call(id, 0, 5, 90000.0))).len();
     }
     assert!((1..=2).contains(&ordered), "{ordered} loads");
 }
 
 #[test]
-fn every_front_end_names_the_same_home() {
-    let home = |seed: u64| {
+fn every_invoker_prefers_the_same_worker() {
+    let preferred = |seed: u64| {
         let mut dispatcher = Dispatcher::new(settings(), seed);
-        let mut act = Vec::new();
+        let mut actions = Vec::new();
         let list = (0..6).map(|number| entry(number, 0)).collect();
-        dispatcher.handle(1.0, Event::Roster(Roster::Whole(list)), &mut act);
-        dispatcher.handle(1.0, Event::Request(call(1, 0, 5, 9000.0)), &mut act);
-        for worker in questions(&act.clone()) {
+        dispatcher.handle(1.0, Event::Roster(Roster::Whole(list)), &mut actions);
+        dispatcher.handle(1.0, Event::Request(call(1, 0, 5, 9000.0)), &mut actions);
+        for worker in queries(&actions.clone()) {
             let (worker, model, outcome) = (WorkerId(worker), ModelId(5), Outcome::Ok);
-            dispatcher.handle(2.0, Event::Loaded { worker, model, outcome, copies: 0, took: 1.0 }, &mut act);
+            dispatcher.handle(
+                2.0,
+                Event::Loaded { worker, model, outcome, copies: 0, took: 1.0 },
+                &mut actions,
+            );
         }
-        loads(&act)
+        loads(&actions)
     };
-    assert_eq!(home(1).len(), 1);
-    assert_eq!(home(1), home(99));
+    assert_eq!(preferred(1).len(), 1);
+    assert_eq!(preferred(1), preferred(99));
 }
 
 #[test]
-fn a_full_worker_drops_models_drawn_by_size_over_frequency_plus_recency() {
-    // One worker of 1000 MB; a big rare model, a small one often called, then one that needs room.
+fn a_full_worker_evicts_models_drawn_by_size_over_frequency_plus_recency() {
+    // One worker of 1000 MB with a large model called once and a small one called often; then a third needs
+    // memory.
     let mut drawn = [0, 0];
     for seed in 0..400 {
-        let mut front = Front::new(settings(), vec![entry(0, 0)]);
-        front.dispatcher = Dispatcher::new(settings(), seed);
-        front.tell(Event::Roster(Roster::Whole(vec![entry(0, 0)])));
-        let serve = |front: &mut Front, id: u64, model: u64, memory: f64| {
-            let mut act = front.ask(Request { memory, ..call(id, 0, model, 90000.0) });
+        let mut invoker = Invoker::new(settings(), vec![entry(0, 0)]);
+        invoker.dispatcher = Dispatcher::new(settings(), seed);
+        invoker.handle_event(Event::Roster(Roster::Whole(vec![entry(0, 0)])));
+        let serve = |invoker: &mut Invoker, id: u64, model: u64, memory: f64| {
+            let mut actions = invoker.request(Request { memory, ..call(id, 0, model, 90000.0) });
             for _ in 0..3 {
                 if let Some(Action::Load { worker, copies, .. }) =
-                    act.iter().find(|action| matches!(action, Action::Load { .. })).cloned()
+                    actions.iter().find(|action| matches!(action, Action::Load { .. })).cloned()
                 {
                     let copies = copies.min(1);
-                    act = front.loaded(worker.0, model, Outcome::Ok, copies, 1.0);
+                    actions = invoker.loaded(worker.0, model, Outcome::Ok, copies, 1.0);
                 }
             }
-            if sends(&act).len() == 1 {
-                front.end(id, 0, 0, Outcome::Ok);
+            if sends(&actions).len() == 1 {
+                invoker.finish(id, 0, 0, Outcome::Ok);
             }
         };
-        serve(&mut front, 1, 1, 600.0);
+        serve(&mut invoker, 1, 1, 600.0);
         for id in 2..6 {
-            serve(&mut front, id, 2, 300.0);
+            serve(&mut invoker, id, 2, 300.0);
         }
-        let mut act = front.ask(Request { memory: 200.0, ..call(9, 0, 3, 90000.0) });
-        act.extend(front.loaded(0, 3, Outcome::Ok, 0, 1.0));
-        let mut victims = act.iter().filter_map(|action| match action {
+        let mut actions = invoker.request(Request { memory: 200.0, ..call(9, 0, 3, 90000.0) });
+        actions.extend(invoker.loaded(0, 3, Outcome::Ok, 0, 1.0));
+        let mut victims = actions.iter().filter_map(|action| match action {
             Action::Evict { model, .. } => Some(model.0),
             _ => None,
         });
-        let first = victims.next().expect("room is needed");
-        assert!(victims.next().is_none(), "one draw gives the room needed");
+        let first = victims.next().expect("a model must be evicted");
+        assert!(victims.next().is_none(), "one eviction frees enough memory");
         drawn[first as usize - 1] += 1;
     }
     // Weights 600 / (1 + 1) and 300 / (4 + 1): 5 to 1.
@@ -125,30 +133,30 @@
 }
 
 #[test]
-fn the_table_ages_by_the_keep_time() {
-    let (mut front, _) = told(&[0, 0], &[0], settings());
-    front.end(1, 0, 0, Outcome::Ok);
-    front.now += 100.0;
-    assert_eq!(sends(&front.ask(call(2, 0, 5, 9000.0))), vec![(2, 0)]);
-    front.end(2, 0, 0, Outcome::Ok);
-    front.now += 8001.0;
-    let act = front.ask(call(3, 0, 5, 30000.0));
-    assert!(sends(&act).is_empty(), "an old belief is asked about, not trusted");
-    assert!(!questions(&act).is_empty());
+fn entries_expire_after_the_keep_time() {
+    let (mut invoker, _) = invoker_with_copies(&[0, 0], &[0], settings());
+    invoker.finish(1, 0, 0, Outcome::Ok);
+    invoker.now += 100.0;
+    assert_eq!(sends(&invoker.request(call(2, 0, 5, 9000.0))), vec![(2, 0)]);
+    invoker.finish(2, 0, 0, Outcome::Ok);
+    invoker.now += 8001.0;
+    let actions = invoker.request(call(3, 0, 5, 30000.0));
+    assert!(sends(&actions).is_empty(), "an expired entry leads to a query, not to a call");
+    assert!(!queries(&actions).is_empty());
 }
 
 #[test]
-fn one_busy_model_is_not_spread_with_every_call() {
-    // A model with one lane and calls that queue: a second copy is ordered, not one for each call.
-    let (mut front, _) = told(&[0; 8], &[0], settings());
+fn a_busy_model_is_not_loaded_again_for_every_call() {
+    // Calls queue at a copy with one lane: one or two more copies are ordered, not one per call.
+    let (mut invoker, _) = invoker_with_copies(&[0; 8], &[0], settings());
     let mut ordered = 0;
     for id in 2..40 {
-        let act = front.ask(Request { lanes: 1.0, ..call(id, 0, 5, 60000.0) });
-        for (worker, model) in loads(&act) {
+        let actions = invoker.request(Request { lanes: 1.0, ..call(id, 0, 5, 60000.0) });
+        for (worker, model) in loads(&actions) {
             ordered += 1;
-            front.loaded(worker, model, Outcome::Full, 0, 1.0);
+            invoker.loaded(worker, model, Outcome::Full, 0, 1.0);
         }
-        front.now += 5.0;
+        invoker.now += 5.0;
     }
     assert!((1..=2).contains(&ordered), "{ordered}");
 }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Small helpers: settings, a front end under test, and the events it is fed.
+//! Test helpers: settings, an invoker under test, and events for it.
 #![allow(dead_code)]
 use corkbay::*;
 
@@ -70,41 +70,41 @@
     }
 }
 
-/// A front end under test.
-pub struct Front {
+/// An invoker under test.
+pub struct Invoker {
     pub dispatcher: Dispatcher,
     pub now: Ms,
 }
 
-impl Front {
-    pub fn new(settings: Settings, entries: Vec<RosterEntry>) -> Front {
-        let mut front = Front { dispatcher: Dispatcher::new(settings, 7), now: 1000.0 };
-        front.tell(Event::Roster(Roster::Remembered(entries)));
-        front
+impl Invoker {
+    pub fn new(settings: Settings, entries: Vec<RosterEntry>) -> Invoker {
+        let mut invoker = Invoker { dispatcher: Dispatcher::new(settings, 7), now: 1000.0 };
+        invoker.handle_event(Event::Roster(Roster::Remembered(entries)));
+        invoker
     }
 
-    pub fn tell(&mut self, event: Event) -> Vec<Action> {
-        let mut act = Vec::new();
-        self.dispatcher.handle(self.now, event, &mut act);
-        act
+    pub fn handle_event(&mut self, event: Event) -> Vec<Action> {
+        let mut actions = Vec::new();
+        self.dispatcher.handle(self.now, event, &mut actions);
+        actions
     }
 
-    /// Lets time pass, one recurring timer after the other.
+    /// Advances time by `span` ms and fires the recurring timer every 20 ms.
     pub fn wait(&mut self, span: Ms) -> Vec<Action> {
-        let (end, mut act) = (self.now + span, Vec::new());
+        let (end, mut actions) = (self.now + span, Vec::new());
         while self.now < end {
             self.now += 20.0;
-            act.extend(self.tell(Event::Timer { token: 0 }));
+            actions.extend(self.handle_event(Event::Timer { token: 0 }));
         }
-        act
+        actions
     }
 
-    pub fn ask(&mut self, request: Request) -> Vec<Action> {
-        self.tell(Event::Request(request))
+    pub fn request(&mut self, request: Request) -> Vec<Action> {
+        self.handle_event(Event::Request(request))
     }
 
-    pub fn end(&mut self, id: u64, attempt: u32, worker: u32, outcome: Outcome) -> Vec<Action> {
-        self.tell(Event::Finished(Finished {
+    pub fn finish(&mut self, id: u64, attempt: u32, worker: u32, outcome: Outcome) -> Vec<Action> {
+        self.handle_event(Event::Finished(Finished {
             id: RequestId(id),
             attempt,
             worker: WorkerId(worker),
@@ -126,12 +126,13 @@
         took: Ms,
     ) -> Vec<Action> {
         let (worker, model) = (WorkerId(worker), ModelId(model));
-        self.tell(Event::Loaded { worker, model, outcome, copies, took })
+        self.handle_event(Event::Loaded { worker, model, outcome, copies, took })
     }
 }
 
-pub fn sends(act: &[Action]) -> Vec<(u64, u32)> {
-    act.iter()
+pub fn sends(actions: &[Action]) -> Vec<(u64, u32)> {
+    actions
+        .iter()
         .filter_map(|action| match action {
             Action::Send { id, worker, .. } => Some((id.0, worker.0)),
             _ => None,
@@ -139,9 +140,10 @@
         .collect()
 }
 
-/// Orders to hold copies, questions left out.
-pub fn loads(act: &[Action]) -> Vec<(u32, u64)> {
-    act.iter()
+/// Load orders among the actions, without queries.
+pub fn loads(actions: &[Action]) -> Vec<(u32, u64)> {
+    actions
+        .iter()
         .filter_map(|action| match action {
             Action::Load { worker, model, copies } if *copies > 0 => Some((worker.0, model.0)),
             _ => None,
@@ -149,8 +151,9 @@
         .collect()
 }
 
-pub fn questions(act: &[Action]) -> Vec<u32> {
-    act.iter()
+pub fn queries(actions: &[Action]) -> Vec<u32> {
+    actions
+        .iter()
         .filter_map(|action| match action {
             Action::Load { worker, copies: 0, .. } => Some(worker.0),
             _ => None,
@@ -158,8 +161,9 @@
         .collect()
 }
 
-pub fn ended(act: &[Action]) -> Vec<(u64, bool)> {
-    act.iter()
+pub fn ended(actions: &[Action]) -> Vec<(u64, bool)> {
+    actions
+        .iter()
         .filter_map(|action| match action {
             Action::Refuse { id, .. } => Some((id.0, true)),
             Action::Fail { id, .. } => Some((id.0, false)),
