--- a/crates/node/src/core/attempt.rs
+++ b/crates/node/src/core/attempt.rs
@@ -1,51 +1,54 @@
-//! How an attempt can fail, told by how far it had come, and what the decisions make of it.
+//! How an attempt failed, by how much of it had been sent, and the outcome that the dispatcher is given for
+//! it.
 use corkbay::Outcome;
 
-/// Why nothing more is heard of an attempt.
+/// Why an attempt ended without an answer from its worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
     /// The connection broke.
     Broken,
-    /// No answer came in time.
+    /// The time limit passed without an answer.
     Silent,
-    /// The attempt was called off.
+    /// The attempt was cancelled.
     GivenUp,
-    /// The worker may be sent nothing more, no descriptor was left for it, or it would have gone out too late.
+    /// Sending was not allowed: the worker accepts no more attempts, no file descriptor was free for it, or
+    /// its send deadline had passed.
     Barred,
 }
 
-/// What a worker answers in place of a result.
+/// An answer of a worker other than a result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// The model is not loaded there; not run.
+    /// The model is not loaded on the worker; the call did not run.
     Miss,
-    /// Not taken; not run.
+    /// The worker is at capacity; the call did not run.
     Full,
-    /// An error; it may have run.
+    /// The call failed; it may have run.
     Failed,
-    /// The request was over already; not run.
+    /// The request had already ended; the call did not run.
     Over,
 }
 
-/// The end of an attempt that brought no result.
+/// The end of an attempt that produced no result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptError {
-    /// No connection came up.
+    /// No connection could be established.
     Unconnected,
-    /// It was not whole on the wire: it never ran.
+    /// The attempt was not sent completely, so it cannot have run.
     Unfinished(Cause),
-    /// It was whole on the wire: it may have run.
+    /// The attempt was sent completely, so it may have run.
     Unanswered(Cause),
-    /// The worker answered.
+    /// The worker answered without a result.
     Answered(Verdict),
 }
 
 impl AttemptError {
-    /// The outcome that the decisions are told: the one place where errors become outcomes.
+    /// The outcome reported to the dispatcher. Attempt errors are mapped to outcomes only here.
     pub fn outcome(self) -> Outcome {
         match self {
             AttemptError::Unconnected | AttemptError::Unfinished(Cause::Silent) => Outcome::ConnectFailed,
-            // A connection that broke under other exchanges does not tell that its worker is out of reach.
+            // A connection that broke while it carried other exchanges does not show that its worker is
+            // unreachable.
             AttemptError::Unfinished(Cause::Broken | Cause::GivenUp | Cause::Barred) => Outcome::Moot,
             AttemptError::Unanswered(Cause::Broken) => Outcome::Reset,
             AttemptError::Unanswered(Cause::Silent) => Outcome::Timeout,
--- a/crates/node/src/core/call.rs
+++ b/crates/node/src/core/call.rs
@@ -1,59 +1,59 @@
-//! A call as the core knows it, and what becomes of it.
+//! A call as the core represents it, and its final answer.
 use corkbay::{Ms, Request};
 use serde::{Deserialize, Serialize};
 
-/// One request with what a worker needs of it.
+/// A request together with the data that a worker needs to run it.
 #[derive(Clone, Debug, Default)]
 pub struct Call {
-    /// The request as the decisions see it.
+    /// The request as the dispatcher sees it.
     pub request: Request,
     /// Name of its class.
     pub class_name: String,
-    /// Name of the function, where the front knows functions by name.
+    /// Name of the function, for fronts that identify functions by name.
     pub function: String,
-    /// The idempotency key of a keyed class.
+    /// The idempotency key, for classes with effect "keyed".
     pub key: Option<String>,
-    /// What the worker is to work on.
+    /// The input of the function.
     pub body: Vec<u8>,
 }
 
 impl Call {
-    /// What its texts and body take, in bytes. The body stands once here and once in what is written to a
-    /// worker.
+    /// Size of the strings and the body, in bytes. The body counts twice: it is stored here and copied into
+    /// the write buffer of the worker connection.
     pub fn size(&self) -> usize {
         let key = self.key.as_ref().map_or(0, String::capacity);
         self.class_name.capacity() + self.function.capacity() + key + 2 * self.body.capacity()
     }
 }
 
-/// What is known of a call that was not served.
+/// Details of a call that was not served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Failure {
-    /// An attempt was whole on a wire and no proof came that it did not run.
+    /// An attempt was sent completely and there is no proof that it did not run.
     pub may_have_run: bool,
-    /// The client's time ran out.
+    /// The client's deadline passed.
     pub late: bool,
 }
 
-/// The one final answer of a call.
+/// The final answer of a call; each call has exactly one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase", tag = "state")]
 pub enum Answer {
-    /// Done.
+    /// The call was served.
     Served {
-        /// The body that a worker gave.
+        /// The body that the worker returned.
         #[serde(with = "super::base64_text")]
         body: Vec<u8>,
     },
-    /// Not done; another try is harmless, after that many milliseconds.
+    /// Not served; a retry is safe after `retry_after` milliseconds.
     Refused {
-        /// Advice when to come again; 0 for none.
+        /// Suggested delay before a retry, in milliseconds; 0 for none.
         retry_after: Ms,
-        /// What is known of it.
+        /// Details of the failure.
         known: Failure,
     },
-    /// Not done, and nothing is promised.
+    /// Not served, and nothing is known about whether a retry is safe.
     Failed(Failure),
-    /// Nobody waits for it any more.
+    /// The client withdrew the call.
     Withdrawn,
 }
--- a/crates/node/src/core/counting.rs
+++ b/crates/node/src/core/counting.rs
@@ -1,9 +1,9 @@
-//! What the counters say of answers.
+//! Counts final answers by kind.
 use super::Answer;
 use crate::memory::counters::Counters;
 
 impl Counters {
-    /// A request has its final answer.
+    /// Counts the final answer of a request.
     pub fn answered(&self, answer: &Answer) {
         match answer {
             Answer::Served { .. } => self.served.add(),
--- /dev/null
+++ b/crates/node/src/core/invoker/attempts.rs
@@ -0,0 +1,189 @@
+//! The attempts in flight of a request.
+use super::messages::TaskMessage;
+use super::request::Taken;
+use crate::core::unserved::hex;
+use crate::core::{monotonic_ms, AttemptError, Cause, Exchange};
+use corkbay::{Effect, Ms, Outcome, WorkerId};
+
+/// How long after its deadline a request waits for the dispatcher's decision before it fails here.
+pub(super) const DECISION_GRACE_MS: Ms = 10.0;
+
+/// Delay between a cancel notice and the next attempt, where a request may have only one attempt in flight. The
+/// two go out on different connections with no order between them; without a delay the next attempt could overtake
+/// the notice.
+const CANCEL_DELIVERY_DELAY_MS: Ms = 5.0;
+
+/// An attempt in flight.
+pub(super) struct InFlightAttempt {
+    attempt: u32,
+    pub(super) worker: WorkerId,
+    pub(super) started: Ms,
+    until: Ms,
+    exchange: Box<dyn Exchange>,
+    /// How it ended, if its worker may not have received the cancel notice yet.
+    ended_with: Option<AttemptError>,
+}
+
+/// The attempts in flight of a request. However the task of the request ends, each attempt is cancelled and
+/// reported to the dispatcher.
+pub(super) struct InFlightAttempts<'a> {
+    request: &'a Taken,
+    in_flight: Vec<InFlightAttempt>,
+    /// Number of attempts that the dispatcher asked for and this task has read.
+    requested: u32,
+    /// Attempts that were sent and are not proven to have not run, with the start time of each, in order.
+    may_have_run: Vec<(u32, Ms)>,
+    /// Outcome of the last attempt that produced no result.
+    last_failure: Option<Outcome>,
+}
+
+impl<'a> InFlightAttempts<'a> {
+    pub(super) fn new(request: &'a Taken) -> Self {
+        InFlightAttempts {
+            request,
+            in_flight: Vec::new(),
+            requested: 0,
+            may_have_run: Vec::new(),
+            last_failure: None,
+        }
+    }
+
+    /// The earliest time limit of an attempt in flight, but at most `or`.
+    pub(super) fn next_due(&self, or: Ms) -> Ms {
+        self.in_flight.iter().map(|entry| entry.until).fold(or, f64::min)
+    }
+
+    /// Whether an attempt may have run.
+    pub(super) fn may_have_run(&self) -> bool {
+        !self.may_have_run.is_empty()
+    }
+
+    /// Number of attempts that the dispatcher asked for so far.
+    pub(super) fn requested(&self) -> u32 {
+        self.requested
+    }
+
+    fn position(&self, attempt: u32) -> Option<usize> {
+        self.in_flight.iter().position(|entry| entry.attempt == attempt)
+    }
+
+    /// Removes an attempt that has ended; `None` if its end was handled before.
+    pub(super) fn remove(&mut self, attempt: u32) -> Option<InFlightAttempt> {
+        self.position(attempt).map(|index| self.in_flight.swap_remove(index))
+    }
+
+    /// Cancels an attempt. If its end is already on its way, that arrives as a message.
+    pub(super) fn cancel(&mut self, attempt: u32) {
+        let Some(index) = self.position(attempt) else { return };
+        if let Some(error) = self.in_flight[index].exchange.give_up(Cause::GivenUp) {
+            let entry = self.in_flight.swap_remove(index);
+            self.end_failed(entry, error);
+        }
+    }
+
+    /// Ends one attempt whose time is up; false if there is none.
+    pub(super) fn end_one_overdue(&mut self, now: Ms) -> bool {
+        let overdue = self.in_flight.iter().position(|entry| entry.until <= now);
+        overdue.map(|index| self.handle_overdue(index)).is_some()
+    }
+
+    /// Starts an attempt. A retry of an attempt that may have run must be sent within the deduplication
+    /// window of its class.
+    pub(super) fn start(&mut self, worker: WorkerId, within: Ms) {
+        let (attempt, call, invoker) = (self.requested, &self.request.call, &self.request.invoker);
+        self.requested += 1;
+        let started = monotonic_ms();
+        let Some(host) = invoker.host(worker) else {
+            return self.request.report_finished(attempt, worker, started, Outcome::Moot, false);
+        };
+        let expires = call.request.expires;
+        let until = if within > 0.0 { expires.min(started + within) } else { expires };
+        let window = match invoker.settings.classes.get(call.request.class).map(|class| class.effect) {
+            Some(Effect::Keyed(_, window)) => self.may_have_run.first().map(|(_, first)| first + window),
+            _ => None,
+        };
+        let by = window.unwrap_or(until).min(until);
+        self.record_retry(attempt, &host.name);
+        self.may_have_run.push((attempt, started));
+        let sender = self.request.inbox.sender.clone();
+        let end = Box::new(move |end| _ = sender.send(TaskMessage::Ended { attempt, end }));
+        invoker.counters.sent.add();
+        let exchange = invoker.workers.send(&host, call, until, by, end);
+        self.in_flight.push(InFlightAttempt { attempt, worker, started, until, exchange, ended_with: None });
+    }
+
+    /// Counts and logs a retry: where it goes, and how the attempt before it ended.
+    fn record_retry(&self, attempt: u32, host: &str) {
+        let invoker = &self.request.invoker;
+        let Some(last) = self.last_failure else { return };
+        invoker.counters.retried.add();
+        // Retries of attempts that never ran are common; only those that may have run are logged.
+        if !last.proves_not_run() && invoker.lines.take() {
+            let request = hex(self.request.call.request.id);
+            tracing::info!(%request, attempt, host, last = ?last, "retry");
+        }
+    }
+
+    /// Reports an attempt that produced no result.
+    fn report_failure(&mut self, entry: &InFlightAttempt, error: AttemptError, closed: bool) {
+        let outcome = error.outcome();
+        self.last_failure = Some(outcome);
+        self.request.invoker.counters.lost(outcome);
+        self.request.report_finished(entry.attempt, entry.worker, entry.started, outcome, closed);
+        if outcome.proves_not_run() {
+            self.may_have_run.retain(|(attempt, _)| *attempt != entry.attempt);
+        }
+    }
+
+    /// Reports an attempt that produced no result, now or once its worker has had time to receive the cancel
+    /// notice.
+    pub(super) fn end_failed(&mut self, mut entry: InFlightAttempt, error: AttemptError) {
+        let second_copies = self.request.invoker.settings.second_copies;
+        if second_copies || !matches!(error, AttemptError::Unanswered(_)) {
+            return self.report_failure(&entry, error, false);
+        }
+        (entry.ended_with, entry.until) = (Some(error), monotonic_ms() + CANCEL_DELIVERY_DELAY_MS);
+        self.in_flight.push(entry);
+    }
+
+    /// Handles an attempt whose time is up.
+    fn handle_overdue(&mut self, index: usize) {
+        let mut entry = self.in_flight.swap_remove(index);
+        let now = monotonic_ms();
+        match entry.ended_with {
+            Some(error) if entry.exchange.cancel_notice().is_sent() => {
+                return self.report_failure(&entry, error, false)
+            }
+            Some(_) => entry.until = now + CANCEL_DELIVERY_DELAY_MS,
+            None => match entry.exchange.give_up(Cause::Silent) {
+                Some(error) => return self.end_failed(entry, error),
+                // Its end is already on its way and arrives as the next message.
+                None => entry.until = now + DECISION_GRACE_MS,
+            },
+        }
+        self.in_flight.push(entry);
+    }
+
+    /// Cancels all attempts in flight.
+    pub(super) fn cancel_all(&mut self) {
+        // Attempts that the dispatcher asked for after the message that ended the request: it counts them as
+        // in flight.
+        while let Ok(message) = self.request.inbox.messages.try_recv() {
+            if let TaskMessage::Send { worker, .. } = message {
+                self.request.report_finished(self.requested, worker, monotonic_ms(), Outcome::Moot, true);
+                self.requested += 1;
+            }
+        }
+        for mut entry in std::mem::take(&mut self.in_flight) {
+            let error = entry.ended_with.or_else(|| entry.exchange.give_up(Cause::GivenUp));
+            let error = error.unwrap_or(AttemptError::Unanswered(Cause::GivenUp));
+            self.report_failure(&entry, error, true);
+        }
+    }
+}
+
+impl Drop for InFlightAttempts<'_> {
+    fn drop(&mut self) {
+        self.cancel_all();
+    }
+}
--- a/crates/node/src/core/invoker/request.rs
+++ b/crates/node/src/core/invoker/request.rs
@@ -1,7 +1,7 @@
-//! The life of one request, from its first event to its one final answer.
-use super::flights::{Flights, LAST_WORD_MS};
-use super::notes::{Inbox, Note};
-use super::{lock, Invoker, CALL_BYTES};
+//! Processes one request, from its first event to its final answer.
+use super::attempts::{InFlightAttempts, DECISION_GRACE_MS};
+use super::messages::{Inbox, TaskMessage};
+use super::{lock, Invoker, CALL_OVERHEAD_BYTES};
 use crate::core::unserved::hex;
 use crate::core::{monotonic_ms, Answer, AttemptError, Call, Failure, Unserved};
 use crate::memory::room;
@@ -10,58 +10,60 @@
 use may::sync::Mutex;
 use std::sync::Arc;
 
-/// A request that ends unserved this short before its time, as the decisions do, ends for want of time.
-const LAST_CALL_MS: Ms = 40.0;
+/// An unserved request that ends less than this before its deadline counts as late; the dispatcher uses the
+/// same margin.
+const DEADLINE_MARGIN_MS: Ms = 40.0;
 
-/// Longest wait for room for an answer that has come.
-const ANSWER_WAIT_MS: Ms = 500.0;
+/// Longest wait for memory for an answer that has arrived.
+const MAX_ANSWER_WAIT_MS: Ms = 500.0;
 
-/// A request that was taken: a place in the books that ends with its final answer.
+/// An accepted request; it stays registered with the invoker until this is dropped, after its final answer.
 pub struct Taken {
     pub(super) invoker: Arc<Invoker>,
     pub(super) call: Arc<Call>,
     pub(super) inbox: Inbox,
-    pub(super) held: Mutex<Reservation>,
-    pub(super) since: Ms,
+    pub(super) reservation: Mutex<Reservation>,
+    pub(super) accepted_at: Ms,
 }
 
 impl Taken {
-    /// The life of the request, from its first event to its one final answer.
+    /// Processes the request, from its first event to its final answer.
     pub fn serve(&self) -> Answer {
-        let mut flights = Flights::new(self);
+        let mut attempts = InFlightAttempts::new(self);
         self.invoker.feed(Event::Request(self.call.request.clone()));
         let mut answer = loop {
-            if let Some(answer) = self.next_step(&mut flights) {
+            if let Some(answer) = self.next_step(&mut attempts) {
                 break answer;
             }
         };
-        flights.call_off();
+        attempts.cancel_all();
         if let Answer::Refused { known, .. } | Answer::Failed(known) = &mut answer {
-            known.may_have_run = flights.may_have_run();
+            known.may_have_run = attempts.may_have_run();
         }
         answer
     }
 
-    /// Waits for what comes next and deals with it; the final answer, if that is one.
-    fn next_step(&self, flights: &mut Flights<'_>) -> Option<Answer> {
-        let due = flights.next_due(self.call.request.expires + LAST_WORD_MS);
-        let Some(note) = self.inbox.next(due) else { return self.time_is_up(flights) };
-        match note {
-            Note::Send { worker, within } => flights.start(worker, within),
-            Note::Ended { attempt, end } => return self.attempt_ended(flights, attempt, end),
-            Note::Cancel { attempt } => flights.cancel(attempt),
-            Note::Refuse { retry_after, reason } => {
-                self.unserved(flights, Unserved::Decided(reason));
-                return Some(Answer::Refused { retry_after, known: self.known() });
+    /// Waits for the next message or timeout and handles it; returns the final answer if that ends the
+    /// request.
+    fn next_step(&self, attempts: &mut InFlightAttempts<'_>) -> Option<Answer> {
+        let due = attempts.next_due(self.call.request.expires + DECISION_GRACE_MS);
+        let Some(message) = self.inbox.next(due) else { return self.handle_timeout(attempts) };
+        match message {
+            TaskMessage::Send { worker, within } => attempts.start(worker, within),
+            TaskMessage::Ended { attempt, end } => return self.attempt_ended(attempts, attempt, end),
+            TaskMessage::Cancel { attempt } => attempts.cancel(attempt),
+            TaskMessage::Refuse { retry_after, reason } => {
+                self.record_unserved(attempts, Unserved::Decided(reason));
+                return Some(Answer::Refused { retry_after, known: self.failure() });
             }
-            Note::Fail { reason } => {
-                self.unserved(flights, Unserved::Decided(reason));
-                return Some(Answer::Failed(self.known()));
+            TaskMessage::Fail { reason } => {
+                self.record_unserved(attempts, Unserved::Decided(reason));
+                return Some(Answer::Failed(self.failure()));
             }
-            Note::Close => return Some(self.close(flights)),
-            Note::Withdrawn => {
-                self.unserved(flights, Unserved::Withdrawn);
-                self.tell_withdrawn();
+            TaskMessage::Close => return Some(self.close(attempts)),
+            TaskMessage::Withdrawn => {
+                self.record_unserved(attempts, Unserved::Withdrawn);
+                self.report_withdrawn();
                 return Some(Answer::Withdrawn);
             }
         }
@@ -70,71 +72,72 @@
 
     fn attempt_ended(
         &self,
-        flights: &mut Flights<'_>,
+        attempts: &mut InFlightAttempts<'_>,
         attempt: u32,
         end: Result<Vec<u8>, AttemptError>,
     ) -> Option<Answer> {
-        let flight = flights.take(attempt)?;
+        let entry = attempts.remove(attempt)?;
         match end {
             Ok(body) => {
-                self.hold(&body);
-                self.finished(attempt, flight.worker, flight.started, Outcome::Ok, true);
+                self.reserve_answer(&body);
+                self.report_finished(attempt, entry.worker, entry.started, Outcome::Ok, true);
                 Some(Answer::Served { body })
             }
             Err(error) => {
-                flights.ended(flight, error);
+                attempts.end_failed(entry, error);
                 None
             }
         }
     }
 
-    /// The process has no more time for it.
-    fn close(&self, flights: &Flights<'_>) -> Answer {
-        self.unserved(flights, Unserved::ProcessEnds);
-        self.tell_withdrawn();
-        if flights.may_have_run() {
-            return Answer::Failed(self.known());
+    /// Ends the request because the process has no more time for it.
+    fn close(&self, attempts: &InFlightAttempts<'_>) -> Answer {
+        self.record_unserved(attempts, Unserved::ProcessEnds);
+        self.report_withdrawn();
+        if attempts.may_have_run() {
+            return Answer::Failed(self.failure());
         }
         let retry_after = self.invoker.settings.max_retry_after;
-        Answer::Refused { retry_after, known: self.known() }
+        Answer::Refused { retry_after, known: self.failure() }
     }
 
-    /// Ends an attempt whose time is up, or the request if its own is.
-    fn time_is_up(&self, flights: &mut Flights<'_>) -> Option<Answer> {
+    /// Ends an attempt whose time is up, or the request if its own deadline has passed.
+    fn handle_timeout(&self, attempts: &mut InFlightAttempts<'_>) -> Option<Answer> {
         let now = monotonic_ms();
-        if flights.end_overdue(now) || now < self.call.request.expires {
+        if attempts.end_one_overdue(now) || now < self.call.request.expires {
             return None;
         }
-        self.unserved(flights, Unserved::Expired);
-        self.tell_withdrawn();
-        Some(Answer::Failed(self.known()))
+        self.record_unserved(attempts, Unserved::Expired);
+        self.report_withdrawn();
+        Some(Answer::Failed(self.failure()))
     }
 
-    /// Counts and logs why it ends without an answer of a worker.
-    fn unserved(&self, flights: &Flights<'_>, reason: Unserved) {
+    /// Counts and logs why the request ends without an answer from a worker.
+    fn record_unserved(&self, attempts: &InFlightAttempts<'_>, reason: Unserved) {
         self.invoker.counters.unserved(reason);
         if self.invoker.lines.take() {
             let Request { id, class, expires, .. } = self.call.request;
             let left_ms = (expires - monotonic_ms()).round();
-            let (attempts, may_have_run) = (flights.asked(), flights.may_have_run());
+            let (attempts, may_have_run) = (attempts.requested(), attempts.may_have_run());
             tracing::info!(request = %hex(id), class, attempts, may_have_run, left_ms, reason = reason.name(), "unserved");
         }
     }
 
-    fn tell_withdrawn(&self) {
+    fn report_withdrawn(&self) {
         self.invoker.feed(Event::Withdrawn { id: self.call.request.id });
     }
 
-    /// Counts the answer on the call until it is written: once, and once more as it is written. Where there is no room
-    /// it waits a little, and is counted all the same: it is owed.
-    fn hold(&self, body: &Vec<u8>) {
-        let held = &mut *lock(&self.held);
-        let bytes = CALL_BYTES + self.call.size() + 2 * body.capacity();
-        if let Err(full) = held.resize(bytes) {
-            // It must still be written in time.
-            let left = (self.call.request.expires - monotonic_ms()) / 2.0;
-            room::wait(&full.account, full.asked, left.clamp(0.0, ANSWER_WAIT_MS));
-            held.owe(bytes);
+    /// Adds the answer to the call's reservation until it is written: twice, as it is copied into the write
+    /// buffer. If there is no room, it waits a little and then exceeds the cap, because the client must get
+    /// the answer.
+    fn reserve_answer(&self, body: &Vec<u8>) {
+        let reservation = &mut *lock(&self.reservation);
+        let bytes = CALL_OVERHEAD_BYTES + self.call.size() + 2 * body.capacity();
+        if let Err(full) = reservation.resize(bytes) {
+            // The answer must still be written before the deadline.
+            let left_ms = (self.call.request.expires - monotonic_ms()) / 2.0;
+            room::wait(&full.account, full.asked, left_ms.clamp(0.0, MAX_ANSWER_WAIT_MS));
+            reservation.owe(bytes);
         }
     }
 
@@ -143,12 +146,15 @@
         &self.call
     }
 
-    /// What is known at the end; how far the attempts had come is added when all have ended.
-    fn known(&self) -> Failure {
-        Failure { may_have_run: false, late: monotonic_ms() + LAST_CALL_MS >= self.call.request.expires }
+    /// Details of the failure; `may_have_run` is set once all attempts have ended.
+    fn failure(&self) -> Failure {
+        Failure {
+            may_have_run: false,
+            late: monotonic_ms() + DEADLINE_MARGIN_MS >= self.call.request.expires,
+        }
     }
 
-    pub(super) fn finished(
+    pub(super) fn report_finished(
         &self,
         attempt: u32,
         worker: WorkerId,
@@ -171,17 +177,17 @@
 }
 
 impl Drop for Taken {
-    /// The place in the books ends with the request, also when its task panics.
+    /// Removes the request from the invoker, also when its task panics.
     fn drop(&mut self) {
-        self.invoker.counters.call_seconds.observe((monotonic_ms() - self.since) / 1000.0);
-        lock(&self.invoker.core).open.remove(&self.call.request.id);
+        self.invoker.counters.call_seconds.observe((monotonic_ms() - self.accepted_at) / 1000.0);
+        lock(&self.invoker.core).inboxes.remove(&self.call.request.id);
         if std::thread::panicking() {
-            self.tell_withdrawn();
+            self.report_withdrawn();
         }
-        let mut owed = lock(&self.invoker.owed);
-        *owed -= 1;
-        if *owed == 0 {
-            self.invoker.settled.notify_all();
+        let mut unanswered = lock(&self.invoker.unanswered);
+        *unanswered -= 1;
+        if *unanswered == 0 {
+            self.invoker.all_answered.notify_all();
         }
     }
 }
--- a/crates/node/src/core/invoker/tests.rs
+++ b/crates/node/src/core/invoker/tests.rs
@@ -4,9 +4,9 @@
 use corkbay::{ModelId, Request, Standing};
 use std::sync::atomic::AtomicUsize;
 
-struct Over;
+struct EndedExchange;
 
-impl Exchange for Over {
+impl Exchange for EndedExchange {
     fn give_up(&mut self, _: Cause) -> Option<AttemptError> {
         None
     }
@@ -17,7 +17,7 @@
     }
 }
 
-/// Workers that do with each send, by its number, what the test says.
+/// Workers that handle each send with the test's function, which is given the number of the send.
 struct Scripted<F> {
     sends: AtomicUsize,
     act: F,
@@ -29,10 +29,10 @@
 
 fn serve(call: &Call, end: Ending) -> Box<dyn Exchange> {
     end(Ok(call.body.clone()));
-    Box::new(Over)
+    Box::new(EndedExchange)
 }
 
-/// An attempt that is never answered, and whose notice of being given up is written late.
+/// An attempt that is never answered, and whose cancel notice is written late.
 struct Silent {
     notice: CancelNotice,
     held: Arc<std::sync::Mutex<Option<CancelNotice>>>,
@@ -73,7 +73,7 @@
     }
 }
 
-/// An invoker with one worker that is ready, and the accounts of what it holds.
+/// An invoker with one ready worker, and its memory accounts.
 fn with_one_worker(workers: impl Workers, second_copies: bool) -> (Arc<Invoker>, Arc<Ledger>) {
     let setup = serde_json::json!({
         "classes": [{"name": "check", "aimMs": 1000.0, "giveUpMs": 4000.0, "idempotency": "pure"}],
@@ -92,8 +92,8 @@
     (invoker, ledger)
 }
 
-/// Guards against a panic that takes more down than its request: nothing stays owed, and the next
-/// request is served.
+/// Guards against a panic in one request's task that affects others: no request stays registered, and the
+/// next request is served.
 #[test]
 fn a_panic_ends_its_request_and_no_other() {
     let workers = scripted(|number, call, end| {
@@ -117,10 +117,10 @@
     assert_eq!(invoker.take(call(3)).err(), Some(NotTaken::Draining));
 }
 
-/// Guards a worker's places against calls whose clients leave just as they are to go out: such an attempt never
-/// goes out, and holds no place for ever.
+/// Guards the count of attempts in flight at a worker: if the client withdraws just before an attempt is
+/// sent, the attempt is not sent and must not occupy the worker's capacity forever.
 #[test]
-fn an_attempt_asked_for_behind_the_end_of_its_request_holds_no_place() {
+fn an_attempt_requested_after_its_request_ended_uses_no_capacity() {
     let (invoker, _) = with_one_worker(scripted(|_, call, end| serve(call, end)), true);
     let call = |id| {
         let request = Request { id: RequestId(id), expires: monotonic_ms() + 1000.0, ..Request::default() };
@@ -135,26 +135,28 @@
     assert_eq!(taken.serve(), Answer::Served { body: vec![7] });
 }
 
-/// Guards the rule on second copies where none are allowed: the next attempt waits until the notice that gives the
-/// one before up is out, however late that is; where copies are allowed nothing waits for it.
+/// Guards the rule on concurrent attempts: where a request may have only one, the next attempt waits until
+/// the cancel notice of the last one has been sent, however late that is; where several are allowed, nothing
+/// waits for the notice.
 #[test]
-fn the_next_attempt_does_not_overtake_the_notice_that_ends_the_last() {
+fn the_next_attempt_does_not_overtake_the_cancel_notice_of_the_last() {
     for second_copies in [false, true] {
-        // The notice on its way, and whether another send came before it was out.
+        // The unsent cancel notice, and whether another send overtaken_flag before it was sent.
         let held = Arc::<std::sync::Mutex<Option<CancelNotice>>>::default();
         let overtaken = Arc::new(AtomicBool::new(false));
-        let came = overtaken.clone();
+        let overtaken_flag = overtaken.clone();
         let workers = scripted(move |number, call, end| {
             if number == 0 {
-                // Nobody else holds the end, so it can't come.
+                // The callback is leaked, so that the attempt never ends.
                 std::mem::forget(end);
                 return Box::new(Silent { notice: CancelNotice::default(), held: held.clone() });
             }
-            came.fetch_or(held.lock().expect("whole").is_some(), Ordering::Relaxed);
+            overtaken_flag.fetch_or(held.lock().expect("whole").is_some(), Ordering::Relaxed);
             serve(call, end)
         });
         let (invoker, _) = with_one_worker(workers, second_copies);
-        // A stall of the machine makes the decisions more patient with the worker, once and again.
+        // The deadline is long, because each stall of the machine makes the dispatcher wait longer for the
+        // worker.
         let request = Request { id: RequestId(1), expires: monotonic_ms() + 20_000.0, ..Request::default() };
         let taken = invoker.take(Call { request, body: vec![7], ..Call::default() }).expect("taken");
         assert_eq!(taken.serve(), Answer::Served { body: vec![7] });
@@ -162,17 +164,17 @@
     }
 }
 
-/// Guards the one final answer at a cap that is met between an attempt's end and the client's answer: the
-/// answer waits a little for room and goes out all the same, counted.
+/// Guards the final answer when the memory cap is reached between the end of the attempt and the answer to
+/// the client: the answer waits briefly for room, then is returned and counted over the cap.
 #[test]
-fn an_answer_that_finds_no_room_is_given_all_the_same() {
+fn an_answer_is_returned_even_if_it_exceeds_the_memory_cap() {
     let (invoker, ledger) = with_one_worker(scripted(|_, call, end| serve(call, end)), true);
     let request = Request { id: RequestId(1), expires: monotonic_ms() + 4000.0, ..Request::default() };
     let taken = invoker.take(Call { request, body: vec![7; 100_000], ..Call::default() }).expect("taken");
     let calls = ledger.account(Purpose::Calls);
     let others = calls.reserve(calls.free()).expect("what is left");
     assert_eq!(taken.serve(), Answer::Served { body: vec![7; 100_000] });
-    assert!(calls.used() > calls.cap(), "it is counted, over the cap");
+    assert!(calls.used() > calls.cap(), "the answer is counted over the cap");
     let other = Request { id: RequestId(2), expires: monotonic_ms() + 4000.0, ..Request::default() };
     let refused = invoker.take(Call { request: other, ..Call::default() }).err();
     assert!(matches!(refused, Some(NotTaken::Crowded(span)) if span > 0.0), "{refused:?}");
--- a/crates/node/src/core/mod.rs
+++ b/crates/node/src/core/mod.rs
@@ -1,5 +1,5 @@
-//! Requests, attempts and outcomes. No wire is known here: fronts hand calls in and carry answers
-//! away, [`Workers`] carry attempts and orders out.
+//! Requests, attempts and outcomes, independent of any protocol: fronts hand in calls and return the answers,
+//! and implementations of [`Workers`] send attempts and orders to workers.
 mod attempt;
 mod call;
 mod counting;
@@ -13,8 +13,8 @@
 pub(crate) use invoker::lock;
 pub use invoker::{Inbox, Invoker, NotTaken, Taken};
 
-pub use stall::{StallWatch, Turn, HEARTBEAT};
-pub use unserved::{LineBudget, Unserved};
+pub use stall::{LoadChange, StallDetector, HEARTBEAT_INTERVAL};
+pub use unserved::{LogLineLimit, Unserved};
 
 use crate::memory::counters::Dials;
 use crate::memory::roster::Host;
@@ -22,37 +22,38 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Told once how an attempt ended: with the worker's body, or how far it had come.
+/// Called once when an attempt ends: with the body that the worker returned, or with the error.
 pub type Ending = Box<dyn FnOnce(Result<Vec<u8>, AttemptError>) + Send>;
 
-/// An attempt that is out.
+/// An attempt in flight.
 pub trait Exchange: Send {
-    /// Gives the attempt up and tells how far it had come; `None` when its end was told already.
+    /// Cancels the attempt and returns how far it had come; `None` if its end was already reported.
     fn give_up(&mut self, cause: Cause) -> Option<AttemptError>;
-    /// The notice that it was given up, on its way to the worker.
+    /// The cancel notice for this attempt, which may still be on its way to the worker.
     fn cancel_notice(&self) -> &CancelNotice;
 }
 
-/// A notice on its way that an attempt was given up: held by whatever carries it, and sent once nothing does, be it
-/// written or lost with its connection.
+/// Tracks a cancel notice on its way to a worker. Each holder of the notice keeps a clone; the notice counts
+/// as sent once all clones are dropped, whether it was written or lost with its connection.
 #[derive(Clone, Debug, Default)]
 pub struct CancelNotice(Arc<()>);
 
 impl CancelNotice {
-    /// Whether nothing carries it any more; true as well where there was nothing to tell.
+    /// Whether no clone is held any more; also true if there was no notice to send.
     pub fn is_sent(&self) -> bool {
         Arc::strong_count(&self.0) == 1
     }
 }
 
-/// The way to the workers, whatever is spoken there.
+/// Access to the workers, independent of the protocol.
 pub trait Workers: Send + Sync + 'static {
-    /// Starts an attempt that the client waits for until `expires` and that goes out until `by` or not at all; never
-    /// blocks.
+    /// Starts an attempt without blocking. The client waits until `expires`; the attempt is sent by `by` or
+    /// not at all (both in milliseconds on the monotonic clock).
     fn send(&self, host: &Arc<Host>, call: &Arc<Call>, expires: Ms, by: Ms, end: Ending)
         -> Box<dyn Exchange>;
-    /// Orders copies of a model held (0 only asks) and waits for the word on it: how many stand. An order that
-    /// can't go out by that time is not given.
+    /// Orders the worker to hold `copies` copies of a model (0 only queries) and waits up to `within` for the
+    /// answer. Returns the result and the number of copies that are loaded. An order that cannot be sent by
+    /// `by` is not sent.
     fn load(
         &self,
         host: &Arc<Host>,
@@ -61,17 +62,17 @@
         by: Ms,
         within: Duration,
     ) -> (Result<(), AttemptError>, u32);
-    /// Has the idle copies of a model unloaded; nothing is heard of it.
+    /// Has the worker unload its idle copies of a model; there is no answer.
     fn evict(&self, host: &Arc<Host>, model: ModelId);
-    /// Connections counted so far, where they last beyond a call.
+    /// Counters of connection attempts, for transports whose connections outlive a call.
     fn dials(&self) -> Arc<Dials> {
         Arc::default()
     }
-    /// Asks whether the worker lives.
+    /// Checks that the worker is alive.
     fn probe(&self, host: &Arc<Host>, within: Duration) -> Result<(), AttemptError>;
 }
 
-/// Bodies as base64 text in records.
+/// Serializes bodies as base64 text in stored records.
 pub(crate) mod base64_text {
     use base64::{engine::general_purpose::STANDARD, Engine};
     use serde::{de::Error, Deserialize, Deserializer, Serializer};
--- a/crates/node/src/core/stall.rs
+++ b/crates/node/src/core/stall.rs
@@ -1,63 +1,65 @@
-//! How late this process is: whether it stood still (stopped, or given no processor), so that what it reads now may have
-//! come before, and whether it has more to do than it can do in time.
+//! Detects two conditions from the heartbeats of this process. A stall: the process was stopped or got no CPU
+//! time, so that data read now may have arrived earlier. Overload: the process has more work than it can do
+//! in time.
 use corkbay::Ms;
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering::Relaxed};
 use std::time::Duration;
 
-/// How often it is noted that the process runs.
-pub const HEARTBEAT: Duration = Duration::from_millis(25);
-/// Longer than that between two heartbeats it stood still. What is read may be older by two of these before it shows,
-/// which is less than the slack of the deadlines that workers are told.
+/// Interval between two heartbeats.
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(25);
+/// A longer gap between two heartbeats counts as a stall. Data may be up to twice this old before a stall is
+/// detected, which is less than the slack in the deadlines that are sent to workers.
 const STALL_MS: Ms = 60.0;
-/// A heartbeat that comes so long after the one before it is late, and so many of them in a row are no pause: the
-/// process is behind.
-const LATE_BEAT_MS: Ms = 100.0;
-const BEHIND_BEATS: u32 = 2;
+/// A heartbeat that follows the one before it by more than this is late. `OVERLOAD_LATE_HEARTBEATS` late ones
+/// in a row are not a single pause: the process is overloaded.
+const LATE_HEARTBEAT_MS: Ms = 100.0;
+const OVERLOAD_LATE_HEARTBEATS: u32 = 2;
 
-/// Whether the process has just fallen behind, or has caught up.
+/// A change between keeping up and being overloaded.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Turn {
-    /// It has more to do than it can do in time; the newest heartbeat was so late.
-    FellBehind(Ms),
-    /// Its heartbeats come in time again.
-    CaughtUp,
+pub enum LoadChange {
+    /// The process became overloaded; the latest heartbeat was late by this many milliseconds.
+    Overloaded(Ms),
+    /// Heartbeats are on time again.
+    Recovered,
 }
 
-/// Notes heartbeats; points on the monotonic clock as the bits of their numbers, 0 for none.
+/// Records heartbeats. Points on the monotonic clock are stored as the bits of an `f64`, 0 for none.
 #[derive(Debug, Default)]
-pub struct StallWatch {
-    last_beat: AtomicU64,
-    /// The one before it.
-    earlier_beat: AtomicU64,
-    late_in_a_row: AtomicU32,
+pub struct StallDetector {
+    last_heartbeat: AtomicU64,
+    /// The heartbeat before `last_heartbeat`.
+    previous_heartbeat: AtomicU64,
+    consecutive_late: AtomicU32,
 }
 
-fn load(at: &AtomicU64) -> Ms {
-    f64::from_bits(at.load(Relaxed))
+fn load(timestamp: &AtomicU64) -> Ms {
+    f64::from_bits(timestamp.load(Relaxed))
 }
 
-impl StallWatch {
-    /// The process runs; whether that is a turn.
-    pub fn beat(&self, now: Ms) -> Option<Turn> {
-        let last = load(&self.last_beat);
-        self.earlier_beat.store(last.to_bits(), Relaxed);
-        self.last_beat.store(now.to_bits(), Relaxed);
-        let late = now - last - HEARTBEAT.as_secs_f64() * 1000.0;
-        if last > 0.0 && now - last > LATE_BEAT_MS {
-            let in_a_row = self.late_in_a_row.load(Relaxed).saturating_add(1);
-            self.late_in_a_row.store(in_a_row, Relaxed);
-            return (in_a_row == BEHIND_BEATS).then_some(Turn::FellBehind(late));
+impl StallDetector {
+    /// Records a heartbeat and returns the change that it brings, if any.
+    pub fn record_heartbeat(&self, now: Ms) -> Option<LoadChange> {
+        let last = load(&self.last_heartbeat);
+        self.previous_heartbeat.store(last.to_bits(), Relaxed);
+        self.last_heartbeat.store(now.to_bits(), Relaxed);
+        let late_ms = now - last - HEARTBEAT_INTERVAL.as_secs_f64() * 1000.0;
+        if last > 0.0 && now - last > LATE_HEARTBEAT_MS {
+            let consecutive = self.consecutive_late.load(Relaxed).saturating_add(1);
+            self.consecutive_late.store(consecutive, Relaxed);
+            return (consecutive == OVERLOAD_LATE_HEARTBEATS).then_some(LoadChange::Overloaded(late_ms));
         }
-        let was_behind = self.late_in_a_row.swap(0, Relaxed) >= BEHIND_BEATS;
-        was_behind.then_some(Turn::CaughtUp)
+        let was_overloaded = self.consecutive_late.swap(0, Relaxed) >= OVERLOAD_LATE_HEARTBEATS;
+        was_overloaded.then_some(LoadChange::Recovered)
     }
 
-    /// The earliest time at which what is read now can have come: what had come before a heartbeat in time was read by
-    /// the next.
-    pub fn came_at(&self, now: Ms) -> Ms {
-        let (last, earlier) = (load(&self.last_beat), load(&self.earlier_beat));
+    /// The earliest time at which data read now can have arrived: data that arrived before a heartbeat was
+    /// read by the time of the next one, if that one was not late.
+    pub fn earliest_arrival(&self, now: Ms) -> Ms {
+        let (last, earlier) = (load(&self.last_heartbeat), load(&self.previous_heartbeat));
         let was_late = earlier > 0.0 && last - earlier > STALL_MS;
-        // Behind a late heartbeat it is catching up; without one it has just gone on, and there was no turn for it yet.
+        // After a late heartbeat the process is still reading a backlog. If the next heartbeat is overdue,
+        // the process has just resumed and the heartbeat task has not run yet.
         match last > 0.0 && now - last > STALL_MS {
             _ if was_late => earlier,
             true => last,
@@ -65,11 +67,11 @@
         }
     }
 
-    /// Whether it has more to do than it can do in time.
-    pub fn is_behind(&self, now: Ms) -> bool {
-        let last = load(&self.last_beat);
-        let is_late = last > 0.0 && now - last > LATE_BEAT_MS;
-        self.late_in_a_row.load(Relaxed) + u32::from(is_late) >= BEHIND_BEATS
+    /// Whether the process has more work than it can do in time.
+    pub fn is_overloaded(&self, now: Ms) -> bool {
+        let last = load(&self.last_heartbeat);
+        let is_late = last > 0.0 && now - last > LATE_HEARTBEAT_MS;
+        self.consecutive_late.load(Relaxed) + u32::from(is_late) >= OVERLOAD_LATE_HEARTBEATS
     }
 }
 
--- a/crates/node/src/core/unserved.rs
+++ b/crates/node/src/core/unserved.rs
@@ -1,39 +1,40 @@
-//! Why requests end unserved and attempts are made again: told in the log with the request's id, within a budget of
-//! lines, and counted by reason.
+//! Reasons why requests end unserved and attempts are retried: logged with the request id, up to a number of
+//! lines per second, and counted by reason.
 use super::monotonic_ms;
 use corkbay::{EndReason, Ms, RequestId};
 use may::sync::Mutex;
 
-/// Lines a second; what comes on top is counted alone.
-const LINES_PER_SECOND: u32 = 20;
-const SECOND_MS: Ms = 1000.0;
+/// Log lines per second; events beyond that are only counted.
+const MAX_LINES_PER_SECOND: u32 = 20;
+const WINDOW_MS: Ms = 1000.0;
 
-/// Why a request got no answer of a worker.
+/// Why a request got no answer from a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unserved {
-    /// The decisions ended it.
+    /// The dispatcher ended it.
     Decided(EndReason),
-    /// Its time was up before the decisions said a word.
+    /// Its deadline passed before the dispatcher decided.
     Expired,
-    /// The process ends.
+    /// The process is shutting down.
     ProcessEnds,
-    /// Its client left or took it back.
+    /// Its client disconnected or withdrew it.
     Withdrawn,
 }
 
 impl Unserved {
-    /// Reasons beside those of the decisions, as they are counted.
-    const OWN: [Unserved; 3] = [Unserved::Expired, Unserved::ProcessEnds, Unserved::Withdrawn];
+    /// Reasons that do not come from the dispatcher, in the order in which they are counted.
+    const OUTSIDE_DISPATCHER: [Unserved; 3] = [Unserved::Expired, Unserved::ProcessEnds, Unserved::Withdrawn];
 
     /// All names, in the order of [`Unserved::position`].
     pub fn names() -> impl Iterator<Item = &'static str> {
-        let own = Self::OWN.iter().map(|reason| reason.name());
+        let own = Self::OUTSIDE_DISPATCHER.iter().map(|reason| reason.name());
         EndReason::ALL.iter().map(|reason| reason.name()).chain(own)
     }
 
-    /// Its place among all reasons.
+    /// Its index among all reasons.
     pub fn position(self) -> usize {
-        let own = |reason| Self::OWN.iter().position(|known| *known == reason).unwrap_or_default();
+        let own =
+            |reason| Self::OUTSIDE_DISPATCHER.iter().position(|known| *known == reason).unwrap_or_default();
         match self {
             Unserved::Decided(reason) => {
                 EndReason::ALL.iter().position(|known| *known == reason).unwrap_or_default()
@@ -53,48 +54,49 @@
     }
 }
 
-/// Lines that may still be written in this second.
+/// Limits log lines about single requests per second.
 #[derive(Debug)]
-pub struct LineBudget(Mutex<Second>);
+pub struct LogLineLimit(Mutex<Window>);
 
 #[derive(Debug, Default)]
-struct Second {
+struct Window {
     began: Ms,
     lines: u32,
     left_out: u64,
 }
 
-impl Default for LineBudget {
+impl Default for LogLineLimit {
     fn default() -> Self {
-        LineBudget(Mutex::new(Second::default()))
+        LogLineLimit(Mutex::new(Window::default()))
     }
 }
 
-impl LineBudget {
-    /// Whether one more line may be written; tells with the first of a second how many were left out before.
+impl LogLineLimit {
+    /// Whether another line may be written. The first call in a second also logs how many lines were left out
+    /// before.
     pub fn take(&self) -> bool {
-        let (allowed, left_out) = self.take_at(monotonic_ms());
+        let (allowed, left_out) = self.allow_at(monotonic_ms());
         if left_out > 0 {
             tracing::info!(left_out, "lines on requests");
         }
         allowed
     }
 
-    fn take_at(&self, now: Ms) -> (bool, u64) {
-        let mut second = super::lock(&self.0);
-        let mut told = 0;
-        if now - second.began >= SECOND_MS {
-            told = second.left_out;
-            *second = Second { began: now, ..Second::default() };
+    fn allow_at(&self, now: Ms) -> (bool, u64) {
+        let mut window = super::lock(&self.0);
+        let mut left_out_before = 0;
+        if now - window.began >= WINDOW_MS {
+            left_out_before = window.left_out;
+            *window = Window { began: now, ..Window::default() };
         }
-        second.lines += 1;
-        let allowed = second.lines <= LINES_PER_SECOND;
-        second.left_out += u64::from(!allowed);
-        (allowed, told)
+        window.lines += 1;
+        let allowed = window.lines <= MAX_LINES_PER_SECOND;
+        window.left_out += u64::from(!allowed);
+        (allowed, left_out_before)
     }
 }
 
-/// The id of a request as it stands in logs.
+/// The request id as written in logs.
 pub(super) fn hex(id: RequestId) -> String {
     format!("{:016x}", id.0)
 }
