--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,5 +1,5 @@
-//! The corkbay daemon: a core that knows requests, attempts and outcomes, with fronts before it and
-//! worker connections behind it. The decisions are the `corkbay` library's.
+//! The corkbay daemon: a core that handles requests, attempts and outcomes, fronts that accept calls from
+//! clients, and connections to workers. Dispatch decisions are made by the `corkbay` library.
 #![deny(unsafe_op_in_unsafe_fn)]
 #![warn(missing_docs)]
 
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,12 +1,12 @@
-//! Starts the daemon: on the platform as `PROXY_CONFIG` says, elsewhere as a deploy file says.
+//! Starts the daemon: on the platform with the settings of `PROXY_CONFIG`, elsewhere with a deploy file.
 use corkbay_node::life::config::{ConfigError, Source};
 use corkbay_node::life::deploy::Deploy;
 use corkbay_node::life::{import, logs, platform, service};
 use std::path::Path;
 use std::process::ExitCode;
 
-/// Allocations of a size stand together, so that the many small ones that last don't pin the large ones that
-/// come and go between them: with the system's allocator a flood of names left two thirds of the heap unused.
+/// jemalloc groups allocations by size, so that many small long-lived ones do not pin large short-lived ones
+/// between them: with the system allocator, a flood of names left two thirds of the heap unused.
 #[global_allocator]
 static HEAP: tikv_jemallocator::Jemalloc = tikv_jemallocator::Jemalloc;
 
--- a/crates/node/src/timers.rs
+++ b/crates/node/src/timers.rs
@@ -1,63 +1,65 @@
-//! Timed waits of tasks: all of them go through here.
+//! Timed waits of tasks; all of them go through this module.
 //!
-//! The coroutine library keeps a list of timers for each length that it is asked for. Beyond
-//! [1,024 lengths](MOST_LENGTHS) it frees a list while the last timer of it may still be referred to, cuts waits on locks and
-//! queues down to whole milliseconds, takes none of them for no limit, and receives for up to twice the time given. So
-//! waits are made of pieces of few lengths, in whole milliseconds, and their ends are read from the clock.
+//! The coroutine library keeps a list of timers for each distinct duration. Beyond [`MAX_TIMER_DURATIONS`]
+//! of them it frees a list while its last timer may still be referenced. It also truncates
+//! waits on locks and queues to whole milliseconds, treats a wait of zero as unlimited, and may receive for
+//! up to twice the given time. Waits are therefore split into pieces of a few durations, in whole
+//! milliseconds, and their end is read from the clock.
 //!
-//! It also resumes a task whose time is up on the thread of its timers. Here such a task goes back to the queue of the
-//! thread that runs all others: sockets' timers are not made for two threads, and a heartbeat tells how long that queue is.
+//! It also resumes a task whose time is up on its timer thread. Here such a task yields back to the queue of
+//! the thread that runs all others: socket timers do not support two threads, and the heartbeat measures how
+//! long that queue is.
 use may::coroutine;
 use may::sync::mpsc::Receiver;
 use may::sync::{Condvar, MutexGuard, Semphore};
 use std::sync::mpsc::{RecvTimeoutError, TryRecvError};
 use std::time::{Duration, Instant};
 
-/// Most lengths of timers that the coroutine library keeps lists for without ever freeing one.
-pub const MOST_LENGTHS: usize = 1024;
-/// The shortest wait on a lock or a queue, and what its pieces are multiples of.
-const STEP: Duration = Duration::from_millis(1);
-/// The same for sleep that is shorter than that.
-const SHORT_STEP: Duration = Duration::from_micros(125);
-/// Leading bits that a piece of so many steps keeps; the others are zero.
-const LEADING_BITS: u32 = 7;
-/// The longest piece: somewhat under nine minutes.
-const LONGEST_STEPS: u64 = 1 << 19;
+/// Most distinct timer durations for which the coroutine library never frees a list.
+pub const MAX_TIMER_DURATIONS: usize = 1024;
+/// The shortest wait on a lock or a queue; longer pieces are multiples of it.
+const WAIT_STEP: Duration = Duration::from_millis(1);
+/// The same for sleeps shorter than that.
+const SHORT_SLEEP_STEP: Duration = Duration::from_micros(125);
+/// A piece, counted in steps, keeps this many leading bits; the others are cleared.
+const PIECE_LEADING_BITS: u32 = 7;
+/// The longest piece: a little under nine minutes.
+const MAX_PIECE_STEPS: u64 = 1 << 19;
 
-/// The length of the next timer of a wait that has so much left: longer than that by less than a step at most.
+/// The duration of the next timer for a wait with `left` remaining; exceeds `left` by less than a step.
 pub fn piece(left: Duration) -> Duration {
-    let steps = left.as_nanos().div_ceil(STEP.as_nanos()).clamp(1, LONGEST_STEPS.into()) as u64;
-    let dropped_bits = u64::BITS.saturating_sub(steps.leading_zeros() + LEADING_BITS);
-    STEP * ((steps >> dropped_bits) << dropped_bits) as u32
+    let steps = left.as_nanos().div_ceil(WAIT_STEP.as_nanos()).clamp(1, MAX_PIECE_STEPS.into()) as u64;
+    let dropped_bits = u64::BITS.saturating_sub(steps.leading_zeros() + PIECE_LEADING_BITS);
+    WAIT_STEP * ((steps >> dropped_bits) << dropped_bits) as u32
 }
 
-/// The same for sleep.
+/// The same for a sleep.
 pub fn sleep_piece(left: Duration) -> Duration {
-    if left >= STEP {
+    if left >= WAIT_STEP {
         return piece(left);
     }
-    let steps = left.as_nanos().div_ceil(SHORT_STEP.as_nanos()).max(1);
-    SHORT_STEP * steps as u32
+    let steps = left.as_nanos().div_ceil(SHORT_SLEEP_STEP.as_nanos()).max(1);
+    SHORT_SLEEP_STEP * steps as u32
 }
 
-/// What is left until then; `None` once it has passed.
-fn left_until(end: Instant) -> Option<Duration> {
+/// The time left until `end`; `None` once it has passed.
+fn remaining_until(end: Instant) -> Option<Duration> {
     end.checked_duration_since(Instant::now()).filter(|left| !left.is_zero())
 }
 
-/// Lets others have their turn for that long.
+/// Suspends the current task for this long.
 pub fn sleep(span: Duration) {
     let end = Instant::now() + span;
-    while let Some(left) = left_until(end) {
+    while let Some(left) = remaining_until(end) {
         coroutine::sleep(sleep_piece(left));
     }
     coroutine::yield_now();
 }
 
-/// Receives what comes within that time.
+/// Receives the next message, waiting for this long at most.
 pub fn receive<T>(receiver: &Receiver<T>, within: Duration) -> Result<T, RecvTimeoutError> {
     let end = Instant::now() + within;
-    while let Some(left) = left_until(end) {
+    while let Some(left) = remaining_until(end) {
         match receiver.recv_timeout(piece(left)) {
             Err(RecvTimeoutError::Timeout) => {}
             received => return received,
@@ -70,10 +72,10 @@
     })
 }
 
-/// Waits for a post for that long at most; whether one came.
+/// Waits for a semaphore post for this long at most; returns whether there was one.
 pub fn wait_for_post(semaphore: &Semphore, within: Duration) -> bool {
     let end = Instant::now() + within;
-    while let Some(left) = left_until(end) {
+    while let Some(left) = remaining_until(end) {
         if semaphore.wait_timeout(piece(left)) {
             return true;
         }
@@ -82,10 +84,10 @@
     semaphore.try_wait()
 }
 
-/// Waits until it is notified, for that long at most.
+/// Waits until the condition is notified, for this long at most.
 pub fn wait<'a, T>(condition: &Condvar, mut guard: MutexGuard<'a, T>, within: Duration) -> MutexGuard<'a, T> {
     let end = Instant::now() + within;
-    while let Some(left) = left_until(end) {
+    while let Some(left) = remaining_until(end) {
         let (held, result) = match condition.wait_timeout(guard, piece(left)) {
             Ok(waited) => waited,
             Err(poisoned) => poisoned.into_inner(),
--- a/crates/node/src/timers/tests.rs
+++ b/crates/node/src/timers/tests.rs
@@ -3,39 +3,42 @@
 use may::sync::mpsc::channel;
 use std::collections::BTreeSet;
 
-/// Gives what a task comes to.
-fn in_a_task<T: Send + 'static>(task: impl FnOnce() -> T + Send + 'static) -> T {
+/// Runs a closure in a task and returns its result.
+fn run_in_task<T: Send + 'static>(task: impl FnOnce() -> T + Send + 'static) -> T {
     let (sender, receiver) = std::sync::mpsc::channel();
     spawn(move || sender.send(task()));
     receiver.recv_timeout(Duration::from_secs(10)).expect("the task ends")
 }
 
-/// Guards the coroutine library's lists of timers, which are freed too early where there are more lengths than that.
+/// Guards against timers that are used after they were freed: the coroutine library frees its timer lists too
+/// early if there are more than `MAX_TIMER_DURATIONS` distinct durations.
 #[test]
-fn waits_of_all_lengths_are_made_of_few() {
-    let up_to_two_hours = (0..7_200_000).map(|ms| Duration::from_micros(ms * 1000 + ms % 1000));
-    let lengths: BTreeSet<_> = up_to_two_hours.flat_map(|left| [piece(left), sleep_piece(left)]).collect();
+fn waits_of_all_durations_use_few_timer_durations() {
+    let waits_up_to_two_hours = (0..7_200_000).map(|ms| Duration::from_micros(ms * 1000 + ms % 1000));
+    let durations: BTreeSet<_> =
+        waits_up_to_two_hours.flat_map(|left| [piece(left), sleep_piece(left)]).collect();
     let short: BTreeSet<_> = (0..2000).map(|us| sleep_piece(Duration::from_micros(us))).collect();
     let most = [Duration::MAX, Duration::from_secs(1 << 40)].map(piece);
-    let all: BTreeSet<_> = lengths.into_iter().chain(short).chain(most).collect();
-    assert!(all.len() < MOST_LENGTHS, "{} lengths", all.len());
-    assert!(all.iter().all(|length| !length.is_zero()));
+    let all: BTreeSet<_> = durations.into_iter().chain(short).chain(most).collect();
+    assert!(all.len() < MAX_TIMER_DURATIONS, "{} durations", all.len());
+    assert!(all.iter().all(|duration| !duration.is_zero()));
 }
 
-/// Guards waits against coming to an end late, and against a great number of pieces.
+/// Guards against waits that end late and against waits of very many pieces.
 #[test]
-fn a_piece_is_most_of_what_is_left_and_no_more() {
-    for ms in 0..LONGEST_STEPS {
+fn a_piece_covers_nearly_all_of_the_remaining_time() {
+    for ms in 0..MAX_PIECE_STEPS {
         let left = Duration::from_millis(ms) + Duration::from_micros(1 + ms % 997);
         let (late, missing) = (piece(left).saturating_sub(left), left.saturating_sub(piece(left)));
-        assert!(late < STEP && missing <= left / 64, "{left:?}: {:?}", piece(left));
+        assert!(late < WAIT_STEP && missing <= left / 64, "{left:?}: {:?}", piece(left));
     }
 }
 
-/// Guards a deadline that is less than a millisecond away: it was waited for without end.
+/// Guards against waiting forever when a deadline is less than a millisecond away: the library truncates such
+/// a wait to zero, which it treats as unlimited.
 #[test]
 fn a_wait_under_a_millisecond_ends() {
-    let took = in_a_task(|| {
+    let took = run_in_task(|| {
         let (began, short) = (Instant::now(), Duration::from_micros(400));
         let (_sender, receiver) = channel::<()>();
         assert_eq!(receive(&receiver, short), Err(RecvTimeoutError::Timeout));
@@ -47,11 +50,12 @@
     assert!(took >= Duration::from_micros(1200), "{took:?}");
 }
 
-/// Guards a deadline that is no whole number of milliseconds away: it was waited for up to twice.
+/// Guards against waiting up to twice the time for a deadline that is not a whole number of milliseconds
+/// away.
 #[test]
-fn a_receive_waits_its_time_once() {
-    // The shortest of some, as others may keep this one from its turn.
-    let shortest = in_a_task(|| {
+fn a_receive_does_not_wait_twice_its_time() {
+    // The shortest of several waits, as other tasks may delay this one.
+    let shortest = run_in_task(|| {
         let (_sender, receiver) = channel::<()>();
         let took = (0..5).map(|_| {
             let began = Instant::now();
