--- a/crates/duty/src/duty.rs
+++ b/crates/duty/src/duty.rs
@@ -1,48 +1,47 @@
-//! Whether the invoker wants clients, and how it leaves them.
+//! Whether the invoker serves clients, and how it leaves them.
 use crate::Ms;
 
-/// The times of a leave, in milliseconds from its beginning.
+/// The schedule of a drain or shutdown, in milliseconds from its beginning.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Terms {
-    /// From then on connections are let go: each is closed once nothing is owed on it.
+    /// When connections start to be closed: each is closed once no request on it awaits an answer.
     pub let_go: Ms,
-    /// From then on requests are refused.
+    /// When requests start to be refused.
     pub refuse: Ms,
-    /// When no connection may be left that is idle or had a request lately, and how lately; none where the end of
-    /// the process ends them all.
+    /// `(gone, recent)`: by `gone`, no connection may remain that is idle or had a request within the last
+    /// `recent`; `None` if the end of the process closes them all.
     pub gone: Option<(Ms, Ms)>,
 }
 
-/// Connections are ended so long before they must be gone: that is for the last answers.
-const LAST_ANSWERS_MS: Ms = 400.0;
-/// A request counts as so much later than it was read: its last byte may have waited for the reader.
-const READ_LATE_MS: Ms = 200.0;
+/// Connections are ended this long before `gone`, which leaves time for the last answers.
+const LAST_ANSWERS_MARGIN_MS: Ms = 400.0;
+/// A request may have arrived this much before it was read: its last byte may have waited for the reader.
+const MAX_READ_DELAY_MS: Ms = 200.0;
 
-/// Why the invoker leaves its clients.
+/// Why the invoker leaves its clients; a greater value is the stronger reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Leave {
-    /// The operators drain it; they may have it return.
+    /// Operators drain it; this can be undone.
     Drained,
-    /// The process ends, which nothing takes back.
+    /// The process ends; this cannot be undone.
     Ending,
 }
 
-/// What the invoker does about clients.
+/// Whether the invoker serves clients or is leaving them.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Duty {
     leaving: Option<(Leave, Ms, Terms)>,
 }
 
 impl Duty {
-    /// Leaves the clients from now on. What is under way already goes on as it was; the end of the process is the
-    /// stronger reason.
+    /// Starts to leave the clients. A schedule in progress is kept, unless `why` is a stronger reason.
     pub fn leave(&mut self, why: Leave, now: Ms, terms: Terms) {
         if self.leaving.is_none_or(|(before, ..)| before < why) {
             self.leaving = Some((why, now, terms));
         }
     }
 
-    /// Wants clients again; false where the process is about to end.
+    /// Returns to serving clients; false if the process is about to end.
     pub fn come_back(&mut self) -> bool {
         if matches!(self.leaving, Some((Leave::Ending, ..))) {
             return false;
@@ -51,7 +50,7 @@
         true
     }
 
-    /// Why the clients are left, if they are.
+    /// The reason for leaving the clients, if they are being left.
     pub fn leaving(&self) -> Option<Leave> {
         self.leaving.map(|(why, ..)| why)
     }
@@ -61,16 +60,17 @@
         self.leaving.is_some_and(|(_, since, terms)| now >= since + terms.refuse)
     }
 
-    /// Whether connections are let go.
+    /// Whether connections are closed once no request on them awaits an answer.
     pub fn lets_go(&self, now: Ms) -> bool {
         self.leaving.is_some_and(|(_, since, terms)| now >= since + terms.let_go)
     }
 
-    /// Whether what is owed on a connection has to end now, given when the last request on it was read: of what is
-    /// left when all must be gone, only old requests may be waited for.
+    /// Whether the unanswered requests of a connection must end now, given when the last request on it was
+    /// read: close to `gone`, only connections with old requests may stay open.
     pub fn ends(&self, now: Ms, last_request: Ms) -> bool {
-        let Some((_, since, Terms { gone: Some((gone, lately)), .. })) = self.leaving else { return false };
-        now >= since + gone - LAST_ANSWERS_MS && last_request > since + gone - lately - READ_LATE_MS
+        let Some((_, since, Terms { gone: Some((gone, recent)), .. })) = self.leaving else { return false };
+        now >= since + gone - LAST_ANSWERS_MARGIN_MS
+            && last_request > since + gone - recent - MAX_READ_DELAY_MS
     }
 }
 
--- a/crates/duty/src/passage.rs
+++ b/crates/duty/src/handover.rs
@@ -1,28 +1,29 @@
-//! What a process tells its successor about the connections of clients that it passes on: messages one after the other,
-//! each a head of 16 bytes and a body. A connection's descriptor comes beside the first byte of its message.
+//! Messages of a connection handover, from a process to its successor: sent one after the other, each a
+//! header of 16 bytes and a body. The file descriptor of a connection is attached to the first byte of its
+//! message.
 
-/// Bytes of a head: kind, three unused, length of the body, number of the connection; big-endian.
+/// Size of a header in bytes: kind (1), unused (3), body length (4), connection number (8); big-endian.
 pub const HEAD: usize = 16;
-/// Longest body: an answer of 256 KiB with what goes round it, and room to spare.
+/// Longest body in bytes: an answer of 256 KiB with its framing, and room to spare.
 pub const MOST_BODY: usize = 1 << 20;
 
-/// One message.
+/// One handover message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Message {
-    /// A connection, under a number of the sender's, with the numbers of the requests that the sender still owes on it.
+    /// A connection, with the numbers of the requests on it that the sender has not answered yet.
     Connection {
-        /// The connection.
+        /// Number of the connection.
         number: u64,
-        /// What is owed on it.
+        /// Ids of the unanswered requests on it.
         owed: Vec<i32>,
     },
-    /// The end of one of these.
+    /// The final answer to one of these requests.
     End {
-        /// The connection.
+        /// Number of the connection.
         number: u64,
-        /// The request.
+        /// Id of the request (Thrift sequence id).
         seqid: i32,
-        /// What the client is to be told; nothing where it waits no longer.
+        /// The answer to write to the client; empty if it no longer waits.
         bytes: Vec<u8>,
     },
 }
@@ -33,7 +34,7 @@
     End = 2,
 }
 
-/// The head of a message.
+/// The header of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Head {
     kind: Kind,
@@ -41,19 +42,19 @@
     length: usize,
 }
 
-/// Why bytes are no message.
+/// Why bytes are not a valid message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BadMessage {
-    /// Of no kind that is known.
-    #[error("a message of kind {0}")]
+    /// The kind is unknown.
+    #[error("unknown message kind {0}")]
     Kind(u8),
-    /// Too long, or of a length that its kind can't have.
-    #[error("a body of {0} bytes")]
+    /// The body is too long, or has a length that its kind cannot have.
+    #[error("invalid body length: {0} bytes")]
     Length(usize),
 }
 
 impl Message {
-    /// Its bytes.
+    /// Encodes the message.
     pub fn encode(&self) -> Vec<u8> {
         let (kind, number, body) = match self {
             Message::Connection { number, owed } => {
@@ -69,27 +70,27 @@
 }
 
 impl Head {
-    /// Reads a head.
+    /// Decodes a header.
     pub fn decode(bytes: &[u8; HEAD]) -> Result<Head, BadMessage> {
         let [kind, _, _, _, a, b, c, d, number @ ..] = *bytes;
         let length = u32::from_be_bytes([a, b, c, d]) as usize;
-        let (kind, fits) = match kind {
+        let (kind, valid_length) = match kind {
             1 => (Kind::Connection, length.is_multiple_of(4)),
             2 => (Kind::End, length >= 4),
-            odd => return Err(BadMessage::Kind(odd)),
+            unknown => return Err(BadMessage::Kind(unknown)),
         };
-        if !fits || length > MOST_BODY {
+        if !valid_length || length > MOST_BODY {
             return Err(BadMessage::Length(length));
         }
         Ok(Head { kind, number: u64::from_be_bytes(number), length })
     }
 
-    /// Bytes of the body.
+    /// Length of the body, in bytes.
     pub fn length(&self) -> usize {
         self.length
     }
 
-    /// The message with that body, which has the length told.
+    /// Decodes the message with this body, which has the length given by the header.
     pub fn message(self, mut body: Vec<u8>) -> Message {
         let mut words =
             body.chunks_exact(4).map(|word| i32::from_be_bytes([word[0], word[1], word[2], word[3]]));
--- a/crates/duty/src/passage/tests.rs
+++ b/crates/duty/src/handover/tests.rs
@@ -16,7 +16,7 @@
 
 proptest! {
     #[test]
-    fn a_message_is_read_back(message in message()) {
+    fn a_message_is_decoded_as_encoded(message in message()) {
         let bytes = message.encode();
         let (head, body) = bytes.split_first_chunk::<HEAD>().expect("a head");
         let head = Head::decode(head).expect("good");
@@ -26,7 +26,7 @@
 
     /// Guards memory against what is no message: nothing is read beyond a bound.
     #[test]
-    fn no_head_asks_for_more_than_may_be(head in any::<[u8; HEAD]>()) {
+    fn no_header_allows_a_body_over_the_limit(head in any::<[u8; HEAD]>()) {
         if let Ok(head) = Head::decode(&head) {
             prop_assert!(head.length() <= MOST_BODY);
         }
--- a/crates/duty/src/bans/tests.rs
+++ b/crates/duty/src/host_overrides/tests.rs
@@ -1,21 +1,21 @@
 use super::*;
 
 #[test]
-fn one_return_ends_any_number_of_suspensions() {
+fn one_resume_ends_any_number_of_suspensions() {
     let mut bans = Bans::default();
     assert!(bans.suspend("a", 1.0));
     assert!(!bans.suspend("a", 2.0));
     assert_eq!(bans.out().collect::<Vec<_>>(), ["a"]);
     assert!(bans.resume("a", 3.0));
-    assert!(!bans.resume("a", 4.0), "it is back already");
-    assert_eq!((bans.is_out("a"), bans.back_at("a")), (false, Some(3.0)), "the first return counts");
-    assert!(!bans.resume("b", 5.0), "it never went");
+    assert!(!bans.resume("a", 4.0), "it is already resumed");
+    assert_eq!((bans.is_out("a"), bans.back_at("a")), (false, Some(3.0)), "the first resume counts");
+    assert!(!bans.resume("b", 5.0), "it was never suspended");
     assert_eq!(bans.back_at("b"), None);
 }
 
-/// Guards memory against maintenance that goes round the fleet for weeks.
+/// Guards against memory growth during weeks of rolling maintenance.
 #[test]
-fn returns_are_forgotten_and_bans_are_not() {
+fn old_resumes_are_forgotten_and_suspensions_are_not() {
     let mut bans = Bans::default();
     bans.suspend("held", 0.0);
     for number in 0..1000 {
@@ -24,6 +24,6 @@
         bans.resume(&name, now + 500.0);
     }
     assert!(bans.is_out("held"));
-    assert!(bans.stays().count() < 70, "{}", bans.stays().count());
+    assert!(bans.host_overrides().count() < 70, "{}", bans.host_overrides().count());
     assert!(bans.bytes() < 70 * Bans::cost("h1000"));
 }
--- a/crates/duty/src/lib.rs
+++ b/crates/duty/src/lib.rs
@@ -1,25 +1,26 @@
-//! What operators ask of a running invoker, as decisions without I/O and without a clock.
+//! Operator commands on a running invoker, as decisions without I/O and without reading a clock.
 //!
-//! [`Bans`] are their word on hosts, which stands beside the directory's. [`Duty`] tells whether the invoker wants
-//! clients, whether it takes requests, and when it lets the connections of clients go. [`Overrides`] is what of this passes
-//! from a process to its successor, [`Succession`] which of the two this one is, [`Message`] what passes with the
-//! connections of clients, and [`Redial`] when a source of news that failed is called again.
+//! [`Bans`] are the suspensions of hosts, kept separately from the directory of workers. [`Duty`] decides
+//! whether the invoker serves clients, whether it accepts requests, and when it closes client connections.
+//! [`Overrides`] is the part of this state that a process hands to its successor, [`Succession`] tracks which
+//! of the two a process is, [`Message`] is sent along with client connections in a connection handover, and
+//! [`Redial`] decides when a failed event source is connected to again.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod bans;
 mod duty;
+mod handover;
+mod host_overrides;
 mod overrides;
-mod passage;
 mod redial;
 mod succession;
 
-pub use bans::{Bans, Stay};
 pub use duty::{Duty, Leave, Terms};
+pub use handover::{BadMessage, Head, Message, HEAD, MOST_BODY};
+pub use host_overrides::{Bans, HostOverride};
 pub use overrides::{look, BadRecord, Clocks, Look, Overrides, MOST};
-pub use passage::{BadMessage, Head, Message, HEAD, MOST_BODY};
 pub use redial::Redial;
 pub use succession::{Other, Seen, Succession};
 
-/// Milliseconds: points in time on the process's monotonic clock, and spans.
+/// Milliseconds: points in time on the process's monotonic clock, and durations.
 pub type Ms = f64;
--- a/crates/duty/src/overrides.rs
+++ b/crates/duty/src/overrides.rs
@@ -1,28 +1,30 @@
-//! What operators have asked for as it passes from process to process: one record with a version and a check.
-use crate::{Bans, Ms, Stay};
+//! The operators' commands in effect, as passed from process to process: one record with a version and a
+//! checksum.
+use crate::{Bans, HostOverride, Ms};
 use serde::{Deserialize, Serialize};
 
-/// First word of the record, with the version of its form.
-const HEAD: &str = "corkbay-word-1";
-/// Largest record that is read, in bytes: some thousands of hosts.
+/// First word of the record; ends with the format version.
+const FORMAT_WORD: &str = "corkbay-word-1";
+/// Largest record that is read, in bytes: enough for some thousands of hosts.
 pub const MOST: usize = 1 << 20;
 
-/// The clocks by which two processes of one machine can date what they share, in milliseconds.
+/// Clock readings for converting dates that two processes of one machine share, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Clocks {
-    /// Now on the process's own monotonic clock, by which overrides are dated in memory.
+    /// Now on the process's own monotonic clock, which dates overrides in memory.
     pub now: Ms,
-    /// How far the machine's monotonic clock is ahead of it, which all processes share until the machine is started
-    /// anew.
+    /// How far the machine's monotonic clock, which all processes share until a reboot, is ahead of the
+    /// process's.
     pub machine_ahead: Ms,
-    /// How far the wall clock was ahead of it when the process began.
+    /// How far the wall clock was ahead of the process's clock when the process started.
     pub wall_ahead: Ms,
 }
 
 impl Clocks {
-    /// A date of the record on the process's clock. What seems to lie ahead was dated before the machine was started
-    /// anew, or before the wall clock was set back: it counts as now, so that a host that came back is cold.
-    fn to_process(self, host: &Host) -> Ms {
+    /// Converts a date of the record to the process's clock. A date in the future was written before a reboot
+    /// or before the wall clock was set back; it counts as now, so that a host that was resumed counts as
+    /// cold.
+    fn to_process_clock(self, host: &Host) -> Ms {
         let at = match host.since_machine_ms {
             Some(at) => at - self.machine_ahead,
             // Written by an earlier version.
@@ -32,25 +34,25 @@
     }
 }
 
-/// What operators have asked for and not taken back.
+/// Operator commands that are in effect.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Overrides {
-    /// Grows with each change.
+    /// Increases with each change.
     pub version: u64,
-    /// No clients are wanted.
+    /// The invoker is drained.
     pub drained: bool,
-    /// Who is held out.
+    /// Suspended and recently resumed hosts.
     pub bans: Bans,
 }
 
-/// Why bytes are no such record.
+/// Why bytes are not a valid record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BadRecord {
-    /// It is empty, cut short, or of another form.
-    #[error("no record of a form that is read here")]
+    /// It is empty, truncated, or in another format.
+    #[error("the record is truncated or has an unsupported format")]
     Form,
-    /// The check does not fit.
-    #[error("the check does not fit")]
+    /// The checksum does not match.
+    #[error("checksum mismatch")]
     Check,
 }
 
@@ -65,18 +67,18 @@
 struct Host {
     name: String,
     out: bool,
-    /// By the wall clock, for earlier versions.
+    /// By the wall clock, for earlier versions, in milliseconds.
     since_ms: f64,
-    /// By the machine's monotonic clock.
+    /// By the machine's monotonic clock, in milliseconds.
     #[serde(default)]
     since_machine_ms: Option<f64>,
 }
 
 impl Host {
-    fn new(name: &str, stay: Stay, clocks: Clocks) -> Self {
-        let (out, at) = match stay {
-            Stay::Out(at) => (true, at),
-            Stay::Back(at) => (false, at),
+    fn new(name: &str, host_override: HostOverride, clocks: Clocks) -> Self {
+        let (out, at) = match host_override {
+            HostOverride::Suspended(at) => (true, at),
+            HostOverride::Resumed(at) => (false, at),
         };
         Host {
             name: name.to_string(),
@@ -88,48 +90,55 @@
 }
 
 impl Overrides {
-    /// Its bytes: the head, the check in hex, a line end, and the record as JSON.
+    /// Encodes the record: the format word, the checksum in hex, a newline, and the record as JSON.
     pub fn encode(&self, clocks: Clocks) -> Vec<u8> {
-        let hosts = self.bans.stays().map(|(name, stay)| Host::new(name, stay, clocks));
+        let hosts =
+            self.bans.host_overrides().map(|(name, host_override)| Host::new(name, host_override, clocks));
         let text = Text { version: self.version, drained: self.drained, hosts: hosts.collect() };
-        // Texts, numbers and flags: none of it fails to be written.
+        // Strings, numbers and booleans always serialize.
         let text = serde_json::to_string(&text).unwrap_or_default();
-        format!("{HEAD} {:08x}\n{text}", crc32fast::hash(text.as_bytes())).into_bytes()
+        format!("{FORMAT_WORD} {:08x}\n{text}", crc32fast::hash(text.as_bytes())).into_bytes()
     }
 
-    /// Reads it back; what is damaged in any place is told as such.
+    /// Decodes a record; damage anywhere in it is an error.
     pub fn decode(bytes: &[u8], clocks: Clocks) -> Result<Overrides, BadRecord> {
         let text = std::str::from_utf8(bytes).map_err(|_| BadRecord::Form)?;
         let (head, text) = text.split_once('\n').ok_or(BadRecord::Form)?;
-        let check = head.strip_prefix(HEAD).and_then(|rest| rest.strip_prefix(' ')).ok_or(BadRecord::Form)?;
-        if check != format!("{:08x}", crc32fast::hash(text.as_bytes())) {
+        let checksum =
+            head.strip_prefix(FORMAT_WORD).and_then(|rest| rest.strip_prefix(' ')).ok_or(BadRecord::Form)?;
+        if checksum != format!("{:08x}", crc32fast::hash(text.as_bytes())) {
             return Err(BadRecord::Check);
         }
         let text: Text = serde_json::from_str(text).map_err(|_| BadRecord::Form)?;
-        let stays = text.hosts.into_iter().map(|host| {
-            let at = clocks.to_process(&host);
-            (host.name, if host.out { Stay::Out(at) } else { Stay::Back(at) })
+        let host_overrides = text.hosts.into_iter().map(|host| {
+            let at = clocks.to_process_clock(&host);
+            (host.name, if host.out { HostOverride::Suspended(at) } else { HostOverride::Resumed(at) })
         });
-        Ok(Overrides { version: text.version, drained: text.drained, bans: Bans::from_stays(stays) })
+        Ok(Overrides {
+            version: text.version,
+            drained: text.drained,
+            bans: Bans::from_host_overrides(host_overrides),
+        })
     }
 }
 
-/// What to do about the record that stands, as seen by a process that knows a word.
+/// What to do about the stored record, for a process that may know overrides itself.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Look {
-    /// It says what is known.
+    /// It matches what is known.
     Same,
-    /// It is newer: take it over.
+    /// It is newer: adopt it.
     Newer(Overrides),
-    /// It is damaged, gone or older than what is known: write it again, so that nobody misses what it said.
+    /// It is damaged, missing or older than what is known: write it again, so that no process misses what it
+    /// said.
     Restore,
-    /// It can't be read, and nothing better is known here: wait for whoever knows.
+    /// It cannot be read, and this process knows no overrides: wait for a process that does.
     Wait,
 }
 
-/// Judges the record that stands (`None` where there is none) against the word that is known, if any is.
-pub fn look(stands: Option<Result<Overrides, BadRecord>>, known: Option<&Overrides>) -> Look {
-    match (stands, known) {
+/// Compares the stored record (`None` if there is none) with the overrides known to this process, if any.
+pub fn look(stored: Option<Result<Overrides, BadRecord>>, known: Option<&Overrides>) -> Look {
+    match (stored, known) {
         (Some(Ok(overrides)), Some(known)) if overrides.version == known.version => Look::Same,
         (Some(Ok(overrides)), Some(known)) if overrides.version < known.version => Look::Restore,
         (Some(Ok(overrides)), _) => Look::Newer(overrides),
--- a/crates/duty/src/succession.rs
+++ b/crates/duty/src/succession.rs
@@ -1,55 +1,55 @@
-//! Which processes serve at the clients' address, and what that means for each of them.
+//! Tracks which processes of this invoker serve at the clients' address, and what follows for each of them.
 use crate::{Ms, Terms};
 
 /// Another process of the same invoker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Other {
-    /// It served before this one started: it will be told to end.
+    /// It served before this process started and will be told to end.
     Predecessor,
     /// It started later; `ready` once it serves.
     Successor {
-        /// It has said so itself, more than once.
+        /// It has reported this itself, in two observations in a row.
         ready: bool,
     },
 }
 
-/// What a look at the other seat shows.
+/// What one observation of the other process's slot shows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Seen {
-    /// Nobody lives there.
+    /// No process holds it.
     Empty,
-    /// Somebody does, and says so much of itself.
+    /// A live process holds it and reports its state.
     Taken {
         /// It serves.
         ready: bool,
     },
 }
 
-/// Whether this process is alone, followed from look to look.
+/// Whether this process is alone, tracked from observation to observation.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Succession {
     other: Option<Other>,
-    /// The look before this one said that the successor is ready: a seat may still show its last holder's word in
-    /// the moment in which it is taken.
-    said_ready: bool,
+    /// The last observation said that the successor is ready. One is not enough: a slot may still show its
+    /// last holder's report at the moment it is taken.
+    reported_ready: bool,
 }
 
 impl Succession {
-    /// At the start: whoever lives already is the predecessor.
+    /// Creates the state at startup: a process that is already live is the predecessor.
     pub fn new(seen: Seen) -> Self {
         let other = matches!(seen, Seen::Taken { .. }).then_some(Other::Predecessor);
-        Succession { other, said_ready: false }
+        Succession { other, reported_ready: false }
     }
 
-    /// Takes a look in; true if this process is no longer alone, or alone again.
+    /// Records an observation; true if this process is no longer alone, or is alone again.
     pub fn look(&mut self, seen: Seen) -> bool {
         let before = self.other;
         self.other = match (self.other, seen) {
             (_, Seen::Empty) => None,
             (Some(Other::Predecessor), Seen::Taken { .. }) => Some(Other::Predecessor),
-            (_, Seen::Taken { ready }) => Some(Other::Successor { ready: ready && self.said_ready }),
+            (_, Seen::Taken { ready }) => Some(Other::Successor { ready: ready && self.reported_ready }),
         };
-        self.said_ready = seen == Seen::Taken { ready: true };
+        self.reported_ready = seen == Seen::Taken { ready: true };
         before.is_some() != self.other.is_some()
     }
 
@@ -58,14 +58,14 @@
         self.other
     }
 
-    /// Into how many parts the limits of the invoker go.
+    /// Into how many parts the limits of the invoker are divided.
     pub fn parts(&self) -> usize {
         1 + usize::from(self.other.is_some())
     }
 
-    /// The times of this process's end: with a successor that serves, its clients are let go at once, since whoever
-    /// comes again comes to the other. Until `refuse` it still takes what arrives on connections that are owed
-    /// something.
+    /// The schedule for the end of this process. With a ready successor, connections are closed at once,
+    /// since clients that reconnect reach the successor. Until `refuse` (in milliseconds) requests are still
+    /// accepted on connections with unanswered requests.
     pub fn ending(&self, alone: Terms, refuse: Ms) -> Terms {
         match self.other {
             Some(Other::Successor { ready: true }) => Terms { let_go: 0.0, refuse, gone: None },
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Whether a successor serves.
+    /// Whether a successor is serving.
     pub fn is_succeeded(&self) -> bool {
         self.other == Some(Other::Successor { ready: true })
     }
--- a/crates/duty/src/succession/tests.rs
+++ b/crates/duty/src/succession/tests.rs
@@ -4,19 +4,19 @@
 const STARTING: Seen = Seen::Taken { ready: false };
 
 #[test]
-fn a_successor_is_followed_from_its_start_to_its_readiness() {
+fn a_successor_is_tracked_from_its_start_to_its_readiness() {
     let mut succession = Succession::new(Seen::Empty);
     assert_eq!((succession.other(), succession.parts()), (None, 1));
     assert!(!succession.look(Seen::Empty));
     assert!(succession.look(STARTING));
     assert_eq!((succession.is_succeeded(), succession.parts()), (false, 2));
     assert!(!succession.look(READY));
-    assert!(!succession.is_succeeded(), "one look may show the last holder's word");
+    assert!(!succession.is_succeeded(), "one observation may show the last holder's report");
     succession.look(READY);
     assert!(succession.is_succeeded());
 }
 
-/// Guards the old process where the new one fails to start, or dies later: it goes on as if nothing had been.
+/// Guards the old process if the new one fails to start or dies later: the old one continues as if alone.
 #[test]
 fn a_successor_that_dies_leaves_its_predecessor_alone() {
     let alone = Terms { let_go: 700.0, refuse: 700.0, gone: None };
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn whoever_was_there_first_is_the_predecessor_until_it_ends() {
+fn the_process_that_was_first_is_the_predecessor_until_it_ends() {
     let mut succession = Succession::new(READY);
     for _ in 0..3 {
         succession.look(READY);
