--- a/crates/ledger/benches/reserve.rs
+++ b/crates/ledger/benches/reserve.rs
@@ -1,4 +1,4 @@
-//! What a reservation costs: taken and given back on accounts as deep as those of a tenant's call.
+//! Measures a reservation and its release on accounts as deep as those of a tenant's call.
 use corkbay_ledger::{Budget, Ledger, Purpose, Shares, TenantShare, KIB, MIB};
 
 fn main() {
--- a/crates/ledger/src/account.rs
+++ b/crates/ledger/src/account.rs
@@ -1,14 +1,14 @@
 //! Accounts and the reservations on them.
 //!
-//! Counters are atomics and are read with no order between accounts: what a reader sees of two accounts may
-//! be a moment apart, but no account ever counts more than its cap, because bytes are added only where the
-//! sum was found to fit.
+//! Counters are relaxed atomics with no order between accounts: values read from two accounts may belong to
+//! slightly different moments. A reservation is added only where the sum fits, so it never takes an account
+//! over its cap.
 use std::collections::VecDeque;
 use std::fmt;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering::Relaxed};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Bytes held for a purpose, with a cap. Clones are handles on the same account.
+/// Bytes held for a purpose, with a cap. Clones refer to the same account.
 #[derive(Clone)]
 pub struct Account(Arc<Node>);
 
@@ -18,15 +18,15 @@
     cap: AtomicUsize,
     used: AtomicUsize,
     peak: AtomicUsize,
-    /// The most since [`Account::take_high`] last looked.
-    high: AtomicUsize,
+    /// The highest use since [`Account::take_recent_peak`] was last called.
+    recent_peak: AtomicUsize,
     refused: AtomicU64,
     waiters: Mutex<Waiters>,
-    /// Spares the lock on the way back of nearly every reservation.
-    awaited: AtomicBool,
+    /// Whether the queue is not empty; spares nearly every release the lock on it.
+    has_waiters: AtomicBool,
 }
 
-/// Who waits for room, in the order of their coming.
+/// Callers that wait for room, in order of arrival.
 #[derive(Default)]
 struct Waiters {
     next: u64,
@@ -39,34 +39,34 @@
     wake: Box<dyn FnOnce() + Send>,
 }
 
-/// An account, or one above it, has no room for what was asked.
+/// An account or one of its ancestors has no room for a reservation.
 #[derive(Clone, Debug, thiserror::Error)]
 #[error("{asked} bytes do not fit into {account}: it holds {used} of {cap}")]
 pub struct Full {
-    /// The account whose cap was met.
+    /// The account whose cap was reached.
     pub account: Account,
-    /// What was asked for, in bytes.
+    /// Bytes asked for.
     pub asked: usize,
-    /// What it held, in bytes.
+    /// Bytes that the account held.
     pub used: usize,
-    /// What it may hold, in bytes.
+    /// Cap of the account, in bytes.
     pub cap: usize,
 }
 
 impl Full {
-    /// Notes that work was turned away for it.
-    pub(crate) fn count(&self) {
+    /// Counts a refusal on the account.
+    pub(crate) fn count_refusal(&self) {
         self.account.0.refused.fetch_add(1, Relaxed);
     }
 }
 
 impl Account {
-    /// An account that belongs to no other, with its cap in bytes.
+    /// Creates an account without a parent; `cap` is in bytes.
     pub fn root(name: &str, cap: usize) -> Self {
         Account::new(name, None, cap)
     }
 
-    /// An account whose bytes count in this one as well.
+    /// Creates an account whose bytes also count in this one; `cap` is in bytes.
     pub fn child(&self, name: &str, cap: usize) -> Self {
         Account::new(name, Some(self.clone()), cap)
     }
@@ -78,62 +78,64 @@
             cap: AtomicUsize::new(cap),
             used: AtomicUsize::new(0),
             peak: AtomicUsize::new(0),
-            high: AtomicUsize::new(0),
+            recent_peak: AtomicUsize::new(0),
             refused: AtomicU64::new(0),
             waiters: Mutex::default(),
-            awaited: AtomicBool::new(false),
+            has_waiters: AtomicBool::new(false),
         }))
     }
 
-    /// Takes bytes here and in every account above, or in none of them.
+    /// Reserves bytes in this account and all its ancestors, or in none of them.
     pub fn reserve(&self, bytes: usize) -> Result<Reservation, Full> {
-        self.try_reserve(bytes).inspect_err(Full::count)
+        self.try_reserve(bytes).inspect_err(Full::count_refusal)
     }
 
-    /// The same where another account is asked next: a cap that is met does not count as a refusal yet.
+    /// Like [`Account::reserve`], but a failure is not counted as a refusal, as the caller tries another
+    /// account next.
     pub(crate) fn try_reserve(&self, bytes: usize) -> Result<Reservation, Full> {
-        self.add(bytes)?;
+        self.try_add(bytes)?;
         Ok(Reservation { account: self.clone(), bytes })
     }
 
-    /// Takes bytes that are owed already, over the cap if need be: what was kept before a restart, say.
-    /// Nothing new fits until the account is below its cap again.
+    /// Adds bytes that must be held in any case, over the cap if necessary, such as data kept from before a
+    /// restart. New reservations fail until the account is below its cap again.
     pub fn owe(&self, bytes: usize) -> Reservation {
-        self.add_owed(bytes);
+        self.add_over_cap(bytes);
         Reservation { account: self.clone(), bytes }
     }
 
-    fn add_owed(&self, bytes: usize) {
-        self.line().for_each(|account| account.count(account.0.used.fetch_add(bytes, Relaxed) + bytes));
+    fn add_over_cap(&self, bytes: usize) {
+        self.with_ancestors()
+            .for_each(|account| account.update_peaks(account.0.used.fetch_add(bytes, Relaxed) + bytes));
     }
 
-    fn count(&self, used: usize) {
-        // Marks are rarely passed, and a look costs far less than a write.
-        for mark in [&self.0.peak, &self.0.high] {
-            if used > mark.load(Relaxed) {
-                mark.fetch_max(used, Relaxed);
+    fn update_peaks(&self, used: usize) {
+        // The high-water marks rarely rise, and a load costs far less than a write.
+        for peak in [&self.0.peak, &self.0.recent_peak] {
+            if used > peak.load(Relaxed) {
+                peak.fetch_max(used, Relaxed);
             }
         }
     }
 
-    /// An empty reservation that can be grown later; it never fails.
+    /// An empty reservation that can be grown later; never fails.
     pub fn nothing(&self) -> Reservation {
         Reservation { account: self.clone(), bytes: 0 }
     }
 
-    fn line(&self) -> impl Iterator<Item = &Account> {
+    fn with_ancestors(&self) -> impl Iterator<Item = &Account> {
         std::iter::successors(Some(self), |account| account.0.parent.as_ref())
     }
 
-    fn add(&self, bytes: usize) -> Result<(), Full> {
-        for account in self.line() {
+    fn try_add(&self, bytes: usize) -> Result<(), Full> {
+        for account in self.with_ancestors() {
             let node = &account.0;
             let cap = node.cap.load(Relaxed);
             let fits = |used: usize| used.checked_add(bytes).filter(|sum| *sum <= cap || bytes == 0);
             match node.used.fetch_update(Relaxed, Relaxed, fits) {
-                Ok(before) => account.count(before + bytes),
+                Ok(before) => account.update_peaks(before + bytes),
                 Err(used) => {
-                    let below = self.line().take_while(|below| !below.is(account));
+                    let below = self.with_ancestors().take_while(|below| !below.is(account));
                     below.for_each(|below| _ = below.0.used.fetch_sub(bytes, Relaxed));
                     return Err(Full { account: account.clone(), asked: bytes, used, cap });
                 }
@@ -142,36 +144,36 @@
         Ok(())
     }
 
-    fn give_back(&self, bytes: usize) {
+    fn release(&self, bytes: usize) {
         if bytes == 0 {
             return;
         }
-        for account in self.line() {
+        for account in self.with_ancestors() {
             account.0.used.fetch_sub(bytes, Relaxed);
-            if account.0.awaited.load(Relaxed) {
+            if account.0.has_waiters.load(Relaxed) {
                 account.wake();
             }
         }
     }
 
-    /// Has `wake` called once, as soon as so many bytes may fit here; at once where they fit now. Giving up
-    /// the returned value gives up the place in the queue.
+    /// Has `wake` called once, as soon as this many bytes may fit in this account; immediately if they fit
+    /// now. Dropping the returned value leaves the queue.
     pub fn when_room(&self, bytes: usize, wake: impl FnOnce() + Send + 'static) -> Waiting {
         let number = {
             let mut waiters = self.waiters();
             waiters.next += 1;
             let number = waiters.next;
             waiters.queue.push_back(Waiter { number, bytes, wake: Box::new(wake) });
-            self.0.awaited.store(true, Relaxed);
+            self.0.has_waiters.store(true, Relaxed);
             number
         };
-        // What was given back before the queue was joined has woken nobody.
+        // Bytes returned before this caller joined the queue have woken nobody.
         self.wake();
         Waiting { account: self.clone(), number }
     }
 
-    /// Wakes those whose bytes fit, the first come first; a large one holds up those behind it, so that it
-    /// is not passed over for ever.
+    /// Wakes waiters whose bytes fit, in order of arrival. A large waiter holds up those behind it, so that
+    /// it cannot be passed over forever.
     fn wake(&self) {
         loop {
             let waiter = {
@@ -179,7 +181,7 @@
                 let free = self.free();
                 let first = waiters.queue.front().is_some_and(|waiter| waiter.bytes <= free);
                 let waiter = if first { waiters.queue.pop_front() } else { None };
-                self.0.awaited.store(!waiters.queue.is_empty(), Relaxed);
+                self.0.has_waiters.store(!waiters.queue.is_empty(), Relaxed);
                 waiter
             };
             match waiter {
@@ -193,48 +195,49 @@
         self.0.waiters.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether both are handles on one account.
+    /// Whether both refer to the same account.
     pub fn is(&self, other: &Account) -> bool {
         Arc::ptr_eq(&self.0, &other.0)
     }
 
-    /// Its name, without those above it.
+    /// Name of the account, without its ancestors.
     pub fn name(&self) -> &str {
         &self.0.name
     }
 
-    /// Its cap, in bytes.
+    /// Cap in bytes.
     pub fn cap(&self) -> usize {
         self.0.cap.load(Relaxed)
     }
 
-    /// Raises or lowers the cap. What is held above a lower one stays; nothing new fits until it has gone.
+    /// Changes the cap, in bytes. Bytes held above a lower cap stay; new reservations fail until there is
+    /// room again.
     pub fn set_cap(&self, cap: usize) {
         self.0.cap.store(cap, Relaxed);
         self.wake();
     }
 
-    /// What it holds, in bytes.
+    /// Bytes held.
     pub fn used(&self) -> usize {
         self.0.used.load(Relaxed)
     }
 
-    /// What would still fit, in bytes.
+    /// Bytes that still fit below the cap.
     pub fn free(&self) -> usize {
         self.cap().saturating_sub(self.used())
     }
 
-    /// The most that it ever held, in bytes.
+    /// The highest use ever, in bytes.
     pub fn peak(&self) -> usize {
         self.0.peak.load(Relaxed)
     }
 
-    /// The most that it held since this was last asked, in bytes.
-    pub fn take_high(&self) -> usize {
-        self.0.high.swap(self.used(), Relaxed).max(self.used())
+    /// The highest use since the last call, in bytes.
+    pub fn take_recent_peak(&self) -> usize {
+        self.0.recent_peak.swap(self.used(), Relaxed).max(self.used())
     }
 
-    /// Reservations that met its cap.
+    /// Number of reservations refused at this account's cap.
     pub fn refused(&self) -> u64 {
         self.0.refused.load(Relaxed)
     }
@@ -255,7 +258,7 @@
     }
 }
 
-/// A place in the queue for room; dropping it gives it up.
+/// A place in the queue for room; dropping it leaves the queue.
 #[derive(Debug)]
 pub struct Waiting {
     account: Account,
@@ -270,13 +273,13 @@
             at.and_then(|at| waiters.queue.remove(at))
         };
         if left.is_some() {
-            // The next in the queue may want less.
+            // The next waiter may need fewer bytes.
             self.account.wake();
         }
     }
 }
 
-/// Bytes that were taken from an account. They go back when this is dropped, and only then.
+/// Bytes taken from an account. They are returned when this is dropped, and only then.
 #[must_use = "the bytes go back at once if nobody holds the reservation"]
 pub struct Reservation {
     account: Account,
@@ -284,39 +287,39 @@
 }
 
 impl Reservation {
-    /// What it holds, in bytes.
+    /// Bytes held.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// The account it was taken from.
+    /// The account that the bytes were taken from.
     pub fn account(&self) -> &Account {
         &self.account
     }
 
-    /// Grows or shrinks to so many bytes. Shrinking never fails; where growing does, nothing changes.
+    /// Grows or shrinks the reservation to `bytes`. Shrinking never fails; a failed growth changes nothing.
     pub fn resize(&mut self, bytes: usize) -> Result<(), Full> {
         match bytes.checked_sub(self.bytes) {
-            Some(more) => self.account.add(more).inspect_err(Full::count)?,
-            None => self.account.give_back(self.bytes - bytes),
+            Some(more) => self.account.try_add(more).inspect_err(Full::count_refusal)?,
+            None => self.account.release(self.bytes - bytes),
         }
         self.bytes = bytes;
         Ok(())
     }
 
-    /// Holds so many bytes, whatever fits: they are owed already; see [`Account::owe`].
+    /// Sets the reservation to `bytes` regardless of the cap; see [`Account::owe`].
     pub fn owe(&mut self, bytes: usize) {
         match bytes.checked_sub(self.bytes) {
-            Some(more) => self.account.add_owed(more),
-            None => self.account.give_back(self.bytes - bytes),
+            Some(more) => self.account.add_over_cap(more),
+            None => self.account.release(self.bytes - bytes),
         }
         self.bytes = bytes;
     }
 
-    /// Gives back what is above so many bytes.
+    /// Returns the bytes above `bytes`.
     pub fn shrink_to(&mut self, bytes: usize) {
         if bytes < self.bytes {
-            self.account.give_back(self.bytes - bytes);
+            self.account.release(self.bytes - bytes);
             self.bytes = bytes;
         }
     }
@@ -324,7 +327,7 @@
 
 impl Drop for Reservation {
     fn drop(&mut self) {
-        self.account.give_back(self.bytes);
+        self.account.release(self.bytes);
     }
 }
 
--- a/crates/ledger/src/account/tests.rs
+++ b/crates/ledger/src/account/tests.rs
@@ -2,7 +2,7 @@
 use std::sync::mpsc::channel;
 
 #[test]
-fn a_reservation_counts_in_all_accounts_above_and_goes_back_from_all() {
+fn a_reservation_counts_in_all_ancestors_and_is_released_from_all() {
     let root = Account::root("all", 100);
     let (calls, keys) = (root.child("calls", 80), root.child("keys", 50));
     let one = calls.reserve(60).expect("room");
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_lowered_cap_ends_nothing_and_takes_nothing_new() {
+fn a_lowered_cap_keeps_reservations_and_refuses_new_ones() {
     let account = Account::root("calls", 100);
     let mut held = account.reserve(90).expect("room");
     account.set_cap(50);
@@ -28,16 +28,16 @@
     assert_eq!((account.used(), account.peak()), (40, 90));
 }
 
-/// Guards readers that are slowed down: each goes on as soon as its bytes fit, in turn, and one that
-/// left the queue holds up nobody.
+/// Guards readers that wait for room: each continues as soon as its bytes fit, in order, and one that left
+/// the queue blocks nobody.
 #[test]
-fn those_who_wait_are_woken_in_turn() {
+fn waiters_are_woken_in_order() {
     let account = Account::root("clients", 100);
     let mut held = account.reserve(100).expect("room");
     let (sender, woken) = channel();
     let wait = |name: &'static str, bytes| {
         let sender = sender.clone();
-        account.when_room(bytes, move || sender.send(name).expect("heard"))
+        account.when_room(bytes, move || sender.send(name).expect("received"))
     };
     let large = wait("large", 60);
     let _small = wait("small", 10);
@@ -57,8 +57,8 @@
 }
 
 #[test]
-fn the_high_mark_starts_anew_at_each_look() {
+fn the_recent_peak_is_reset_by_each_read() {
     let account = Account::root("keys", 100);
     drop(account.reserve(70).expect("room"));
-    assert_eq!((account.take_high(), account.take_high(), account.peak()), (70, 0, 70));
+    assert_eq!((account.take_recent_peak(), account.take_recent_peak(), account.peak()), (70, 0, 70));
 }
--- a/crates/ledger/src/alarm.rs
+++ b/crates/ledger/src/alarm.rs
@@ -1,22 +1,22 @@
-//! Warnings about accounts that come close to their caps, few enough to be read.
+//! Rate-limited warnings about accounts that come close to their caps.
 use crate::account::Account;
 use crate::Ms;
 use std::collections::HashMap;
 use std::fmt;
 
-/// The part of a cap from which on a warning is due.
-const CLOSE: f64 = 0.8;
-/// The least time between two warnings about one account, in milliseconds.
-const QUIET_MS: Ms = 10_000.0;
+/// Part of the cap from which on a warning is due.
+const WARNING_FRACTION: f64 = 0.8;
+/// Shortest time between two warnings about one account.
+const WARNING_INTERVAL_MS: Ms = 10_000.0;
 
 /// An account came close to its cap.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Warning {
-    /// Its name, with those above it.
+    /// Name of the account, with its ancestors.
     pub account: String,
-    /// The most that it held since the last look, in bytes.
+    /// The highest use since the last check, in bytes.
     pub high: usize,
-    /// What it may hold, in bytes.
+    /// Cap in bytes.
     pub cap: usize,
 }
 
@@ -27,25 +27,25 @@
     }
 }
 
-/// Remembers which accounts were warned of, and when.
+/// Remembers when a warning about each account was last given.
 #[derive(Debug, Default)]
 pub struct Alarm {
-    warned: HashMap<String, Ms>,
+    last_warned: HashMap<String, Ms>,
 }
 
 impl Alarm {
-    /// Looks at accounts; tells those that were close to their caps at any time since the last look, each
-    /// at most once in ten seconds.
-    pub fn look<'a>(&mut self, now: Ms, accounts: impl Iterator<Item = &'a Account>) -> Vec<Warning> {
+    /// Checks accounts; returns those that were close to their caps at any time since the last check, each at
+    /// most once in ten seconds. `now` is in milliseconds.
+    pub fn check<'a>(&mut self, now: Ms, accounts: impl Iterator<Item = &'a Account>) -> Vec<Warning> {
         let mut warnings = Vec::new();
         for account in accounts {
-            let (high, cap) = (account.take_high(), account.cap());
-            if cap == 0 || (high as f64) < CLOSE * cap as f64 {
+            let (high, cap) = (account.take_recent_peak(), account.cap());
+            if cap == 0 || (high as f64) < WARNING_FRACTION * cap as f64 {
                 continue;
             }
             let name = account.to_string();
-            if self.warned.get(&name).is_none_or(|at| now - at >= QUIET_MS) {
-                self.warned.insert(name.clone(), now);
+            if self.last_warned.get(&name).is_none_or(|at| now - at >= WARNING_INTERVAL_MS) {
+                self.last_warned.insert(name.clone(), now);
                 warnings.push(Warning { account: name, high, cap });
             }
         }
--- a/crates/ledger/src/budget.rs
+++ b/crates/ledger/src/budget.rs
@@ -1,17 +1,17 @@
-//! From the memory of a process to a cap for each purpose.
+//! Divides the memory of a process into a cap for each purpose.
 //!
-//! What the process takes before it serves anything (its base, measured) and a reserve for what no account
-//! sees (the allocator's own, fragments, stacks' first pages) come off; the rest is shared out in percent.
-//! Shares that the operator's file names stand as they are; the others split what is left in the
-//! proportions of the table.
+//! Two parts are subtracted first: the base, measured as what the process takes before it serves anything,
+//! and a reserve for memory that no account covers (allocator overhead, fragmentation, first pages of
+//! stacks). The rest is divided by percentages. Shares set in the operator's file are used as they are; the
+//! other purposes divide what is left in the proportions of the table.
 use crate::purpose::Purpose;
 use std::collections::BTreeMap;
 
-/// A budget that can't stand, by the key at fault.
+/// An invalid budget, with the setting at fault.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{key}: {what}")]
 pub struct BudgetError {
-    /// The key, as it stands in the file.
+    /// The key of the setting in the file.
     pub key: String,
     /// What is wrong with it.
     pub what: String,
@@ -23,18 +23,18 @@
     }
 }
 
-/// The part of each purpose, in percent of what there is to share.
+/// The share of each purpose, in percent of the memory to divide.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Shares {
     percent: [f64; Purpose::COUNT],
-    /// Those that the file names.
+    /// Purposes whose share the file sets.
     named: [bool; Purpose::COUNT],
-    /// Those that were raised to what they need: they give way to no other.
+    /// Purposes that were raised to what they need; their shares are not reduced for others.
     raised: [bool; Purpose::COUNT],
 }
 
 impl Shares {
-    /// The table's shares for a daemon off the platform.
+    /// The table's shares for a daemon outside the platform.
     pub fn daemon() -> Self {
         Shares::of(|purpose| purpose.terms().daemon)
     }
@@ -50,16 +50,22 @@
         Shares { percent, named: [false; Purpose::COUNT], raised: [false; Purpose::COUNT] }
     }
 
-    /// These shares with those of a file in place of their own; `key` is where they stand in the file.
+    /// Replaces shares by those of a file; `key` is the file's key of the shares, for errors.
     pub fn with(mut self, file: &BTreeMap<String, f64>, key: &str) -> Result<Self, BudgetError> {
         for (name, percent) in file {
-            let at = format!("{key}.{name}");
+            let share_key = format!("{key}.{name}");
             let purpose = Purpose::named(name).ok_or_else(|| {
                 let known: Vec<_> = Purpose::all().map(Purpose::name).collect();
-                BudgetError::new(&at, format!("no such purpose; there are {}", known.join(", ")))
+                BudgetError::new(
+                    &share_key,
+                    format!("unknown purpose; the purposes are {}", known.join(", ")),
+                )
             })?;
             if !percent.is_finite() || !(0.0..=100.0).contains(percent) {
-                return Err(BudgetError::new(at, format!("{percent} is no percentage")));
+                return Err(BudgetError::new(
+                    share_key,
+                    format!("{percent} is not a percentage between 0 and 100"),
+                ));
             }
             self.percent[purpose as usize] = *percent;
             self.named[purpose as usize] = true;
@@ -68,21 +74,21 @@
             let both = self.percent.iter().zip(&self.named);
             both.filter(|(_, is)| **is == named).map(|(percent, _)| percent).sum()
         };
-        let (fixed, open) = (sum(true), sum(false));
-        if fixed > 100.0 {
-            return Err(BudgetError::new(key, format!("the shares add up to {fixed} percent")));
+        let (set_sum, unset_sum) = (sum(true), sum(false));
+        if set_sum > 100.0 {
+            return Err(BudgetError::new(key, format!("the shares add up to {set_sum} percent")));
         }
-        if open > 0.0 {
-            let factor = (100.0 - fixed) / open;
+        if unset_sum > 0.0 {
+            let factor = (100.0 - set_sum) / unset_sum;
             let all = self.percent.iter_mut().zip(&self.named);
             all.filter(|(_, named)| !**named).for_each(|(percent, _)| *percent *= factor);
         }
         Ok(self)
     }
 
-    /// These shares, with at least so many bytes of a room for a purpose. Purposes that the file does not name and that
-    /// were not raised themselves give way in proportion. `keys` are where the memory and the shares stand in the
-    /// file, for errors.
+    /// Raises the share of a purpose to at least `bytes` out of `room` bytes. The shares of purposes that the
+    /// file does not set and that were not raised themselves are reduced in proportion. The keys are those of
+    /// the memory and of the shares in the file, for errors.
     pub fn raise(
         mut self,
         purpose: Purpose,
@@ -90,22 +96,22 @@
         room: usize,
         (memory_key, shares_key): (&str, &str),
     ) -> Result<Self, BudgetError> {
-        let place = purpose as usize;
-        let has = self.percent[place];
+        let index = purpose as usize;
+        let has = self.percent[index];
         let wants = bytes as f64 * 100.0 / room.max(1) as f64;
         if wants <= has {
             return Ok(self);
         }
         let name = purpose.name();
         let needs = format!("{name} needs {bytes} bytes of {room} for what is configured");
-        if self.named[place] {
+        if self.named[index] {
             let key = format!("{shares_key}.{name}");
             return Err(BudgetError::new(key, format!("{needs}, {wants:.1} percent")));
         }
         let (named, raised) = (self.named, self.raised);
-        let is_open = |other: usize| other != place && !named[other] && !raised[other];
+        let is_reducible = |other: usize| other != index && !named[other] && !raised[other];
         let others: f64 =
-            (0..Purpose::COUNT).filter(|other| is_open(*other)).map(|other| self.percent[other]).sum();
+            (0..Purpose::COUNT).filter(|other| is_reducible(*other)).map(|other| self.percent[other]).sum();
         let left = others + has - wants;
         if left < 0.0 {
             return Err(BudgetError::new(
@@ -113,7 +119,7 @@
                 format!("{needs}, {:.1} percent are free", others + has),
             ));
         }
-        for other in Purpose::all().filter(|other| is_open(*other as usize)) {
+        for other in Purpose::all().filter(|other| is_reducible(*other as usize)) {
             let before = self.percent[other as usize];
             let after = before * left / others;
             let floor = other.terms().floor as f64 * 100.0 / room.max(1) as f64;
@@ -123,8 +129,8 @@
             }
             self.percent[other as usize] = after;
         }
-        self.percent[place] = wants;
-        self.raised[place] = true;
+        self.percent[index] = wants;
+        self.raised[index] = true;
         Ok(self)
     }
 
@@ -145,8 +151,8 @@
 }
 
 impl Budget {
-    /// Shares out `memory` bytes less the `base` that the process takes by itself and `reserve` percent.
-    /// `memory_key` and `shares_key` are where the figures stand in the file, for errors.
+    /// Divides `memory` bytes less `base`, which the process takes by itself, and less `reserve` percent. The
+    /// keys are those of the memory and of the shares in the file, for errors.
     pub fn plan(
         memory: usize,
         base: usize,
@@ -161,7 +167,7 @@
             let (percent, floor) = (shares.percent(purpose), purpose.terms().floor);
             let cap = (room as f64 * percent / 100.0) as usize;
             let named = shares.named[purpose as usize];
-            // A purpose without any share is off; with one it must be of use.
+            // A purpose with a share of 0 is off; any other must reach its minimum.
             if cap < floor && (percent > 0.0 || named) {
                 let key =
                     if named { format!("{shares_key}.{}", purpose.name()) } else { memory_key.to_string() };
@@ -177,7 +183,7 @@
         Ok(Budget { caps })
     }
 
-    /// What `memory` bytes leave to share out, less the `base` and `reserve` percent.
+    /// The bytes left to divide out of `memory`, less `base` bytes and `reserve` percent.
     pub fn room_within(memory: usize, base: usize, reserve: f64) -> usize {
         memory.saturating_sub(base).saturating_sub(reserved(memory, reserve))
     }
@@ -187,7 +193,7 @@
         self.caps[purpose as usize]
     }
 
-    /// What may be held for all purposes together, in bytes.
+    /// Sum of all caps, in bytes.
     pub fn room(&self) -> usize {
         self.caps.iter().sum()
     }
--- a/crates/ledger/src/budget/tests.rs
+++ b/crates/ledger/src/budget/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn caps_add_up_to_what_is_left() {
+fn caps_add_up_to_the_memory_left() {
     for shares in [Shares::daemon(), Shares::platform(), shares(&[("calls", 55.0)]).expect("fits")] {
         let budget = Budget::plan(128 * MIB, 6 * MIB, 15.0, &shares, KEYS).expect("fits");
         let room = 128.0 * 0.85 - 6.0;
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn what_the_file_names_stands_and_the_rest_keeps_its_proportions() {
+fn shares_of_the_file_are_kept_and_the_others_keep_their_proportions() {
     let shares = shares(&[("calls", 64.0)]).expect("fits");
     assert_eq!(shares.percent(Purpose::Calls), 64.0);
     let of_rest = |purpose: Purpose| purpose.terms().daemon * 36.0 / (100.0 - Purpose::Calls.terms().daemon);
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn what_does_not_fit_together_names_its_key() {
+fn an_invalid_budget_names_its_key() {
     let key = |end: Result<Shares, BudgetError>| end.expect_err("refused").key;
     assert_eq!(key(shares(&[("calls", 60.0), ("keys", 41.0)])), "memory.shares");
     assert_eq!(key(shares(&[("posts", 1.0)])), "memory.shares.posts");
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_purpose_is_raised_at_the_expense_of_those_that_the_file_does_not_name() {
+fn a_purpose_is_raised_at_the_expense_of_those_not_set_in_the_file() {
     let raise =
         |file: &[(&str, f64)], bytes| shares(file).expect("fits").raise(Purpose::Catalog, bytes, 1000, KEYS);
     let few = raise(&[], 10).expect("has more");
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_purpose_that_was_raised_gives_way_to_the_next() {
+fn a_raised_purpose_keeps_its_share_when_another_is_raised() {
     let raised = Shares::platform().raise(Purpose::Roster, 100, 1000, KEYS).expect("fits");
     let both = raised.raise(Purpose::Learnt, 300, 1000, KEYS).expect("fits");
     assert_eq!((both.percent(Purpose::Roster), both.percent(Purpose::Learnt)), (10.0, 30.0));
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -6,7 +6,7 @@
 use crate::tenancy::{Tenancy, TenantShare};
 use crate::Ms;
 
-/// All accounts of a process: one for each purpose, and where tenants have parts, theirs below it.
+/// All accounts of a process: one for each purpose and, for purposes split between tenants, theirs below it.
 #[derive(Debug)]
 pub struct Ledger {
     root: Account,
@@ -14,32 +14,33 @@
     tenancies: [Option<Tenancy>; Purpose::COUNT],
 }
 
-/// What is seen of one account.
+/// The state of one account.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Line {
-    /// Its purpose.
+    /// Name of the purpose.
     pub purpose: &'static str,
-    /// The tenant whose part it is; `None` for the whole.
+    /// The tenant that the account belongs to; `None` for the account of the whole purpose.
     pub tenant: Option<String>,
-    /// What it may hold, in bytes.
+    /// Cap in bytes.
     pub cap: usize,
-    /// What it holds, in bytes.
+    /// Bytes held.
     pub used: usize,
-    /// The most it ever held, in bytes.
+    /// The highest use ever, in bytes.
     pub peak: usize,
-    /// Reservations that met its cap.
+    /// Number of reservations refused at its cap.
     pub refused: u64,
 }
 
 impl Ledger {
-    /// Accounts with the caps of a budget, split between these tenants where a purpose is.
+    /// Creates accounts with the caps of a budget; those of purposes that tenants share are split between
+    /// these tenants.
     pub fn new(budget: &Budget, tenants: &[TenantShare]) -> Self {
         let root = Account::root("all", budget.room());
         let mut tenancies = [const { None }; Purpose::COUNT];
-        let purposes = std::array::from_fn(|place| {
-            let purpose = Purpose::all().nth(place).unwrap_or(Purpose::Calls);
+        let purposes = std::array::from_fn(|index| {
+            let purpose = Purpose::all().nth(index).unwrap_or(Purpose::Calls);
             let account = root.child(purpose.name(), budget.cap(purpose));
-            tenancies[place] = purpose.terms().by_tenant.then(|| Tenancy::new(&account, tenants));
+            tenancies[index] = purpose.terms().by_tenant.then(|| Tenancy::new(&account, tenants));
             account
         });
         Ledger { root, purposes, tenancies }
@@ -50,7 +51,7 @@
         &self.purposes[purpose as usize]
     }
 
-    /// Takes bytes for a purpose and, where tenants have parts of it, a tenant.
+    /// Reserves bytes for a purpose and, if it is split between tenants, for a tenant.
     pub fn reserve(
         &self,
         purpose: Purpose,
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Takes bytes that are owed already, over the cap if need be; see [`Account::owe`].
+    /// Adds bytes that must be held in any case, over the cap if necessary; see [`Account::owe`].
     pub fn owe(&self, purpose: Purpose, bytes: usize) -> Reservation {
         match &self.tenancies[purpose as usize] {
             Some(tenancy) => tenancy.owe(bytes),
@@ -71,7 +72,8 @@
         }
     }
 
-    /// Takes other caps. What is held above a lower one stays, and nothing new fits until it has gone.
+    /// Applies the caps of another budget. Bytes held above a lower cap stay, and new reservations fail until
+    /// there is room again.
     pub fn adopt(&self, budget: &Budget) {
         self.root.set_cap(budget.room());
         for purpose in Purpose::all() {
@@ -82,23 +84,23 @@
         }
     }
 
-    /// The sum of all accounts, in bytes.
+    /// Bytes held in all accounts.
     pub fn held(&self) -> usize {
         self.root.used()
     }
 
-    /// What may be held in all, in bytes.
+    /// Cap of all accounts together, in bytes.
     pub fn room(&self) -> usize {
         self.root.cap()
     }
 
     fn tenants(&self, purpose: Purpose) -> impl Iterator<Item = &Account> {
-        // With nobody but the common part there is nothing to tell apart.
+        // If the common part is the whole, its account would repeat that of the purpose.
         let (parts, whole) = (self.tenancies[purpose as usize].as_ref(), self.account(purpose));
         parts.into_iter().flat_map(Tenancy::accounts).filter(move |part| part.cap() != whole.cap())
     }
 
-    /// What is seen of the accounts that are in use, each purpose before its tenants.
+    /// The state of all accounts in use, each purpose before its tenants.
     pub fn lines(&self) -> Vec<Line> {
         let line = |purpose: Purpose, account: &Account, tenant: Option<String>| Line {
             purpose: purpose.name(),
@@ -115,11 +117,11 @@
         Purpose::all().flat_map(lines).filter(|line| line.cap > 0 || line.used > 0).collect()
     }
 
-    /// The accounts that came close to their caps since the last look and are due for a warning.
+    /// Warnings about accounts that came close to their caps since the last check; `now` is in milliseconds.
     pub fn warnings(&self, alarm: &mut Alarm, now: Ms) -> Vec<Warning> {
         let accounts = Purpose::all()
             .flat_map(|purpose| std::iter::once(self.account(purpose)).chain(self.tenants(purpose)));
-        alarm.look(now, accounts)
+        alarm.check(now, accounts)
     }
 }
 
--- a/crates/ledger/src/ledger/tests.rs
+++ b/crates/ledger/src/ledger/tests.rs
@@ -27,8 +27,8 @@
     assert_eq!((ledger.held(), lines.len()), (KIB, Purpose::COUNT + 4 * 3));
 }
 
-/// Guards a reload that lowers the memory under what is held: nothing ends, nothing new is taken, and a
-/// reload back takes at once.
+/// Guards against a reload that lowers the memory below what is held: nothing held is ended, new reservations
+/// fail, and raising it again takes effect at once.
 #[test]
 fn a_lower_budget_takes_nothing_new_until_it_has_drained() {
     let ledger = Ledger::new(&budget(128), &tenants());
@@ -38,7 +38,7 @@
     ledger.adopt(&budget(64));
     assert_eq!(ledger.held(), before);
     while take().is_err() {
-        assert!(held.pop().is_some(), "room comes before all has gone");
+        assert!(held.pop().is_some(), "there is room before everything is released");
     }
     assert!(ledger.account(Purpose::Calls).used() <= ledger.account(Purpose::Calls).cap());
     ledger.adopt(&budget(128));
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -1,14 +1,13 @@
-//! Memory accounted by purpose: who holds how much, what each purpose may hold, and what happens when it
-//! wants more.
+//! Memory accounting by purpose: how much is held, what each purpose may hold, and what happens at its cap.
 //!
-//! An [`Account`] counts bytes against a cap and belongs to a parent that counts them too, so that the part
-//! of a purpose, or of a tenant within it, can be seen and capped below the whole. A [`Reservation`] is
-//! taken before the memory is and gives its bytes back when it is dropped. A [`Budget`] turns the memory of
-//! a process into caps that add up. [`pressure::decide`] says what a full account leads to: the table of
-//! [`Purpose`]s names the answer of each. A [`Ledger`] holds all of it for one process.
+//! An [`Account`] counts bytes against a cap and has a parent that counts them too, so that the part of a
+//! purpose, or of a tenant within it, can be observed and capped separately. A [`Reservation`] is taken
+//! before memory is allocated and returns its bytes when dropped. A [`Budget`] divides the memory of a
+//! process into caps that add up. [`pressure::decide`] returns what to do when an account is full, by the
+//! table of [`Purpose`]s. A [`Ledger`] holds all accounts of one process.
 //!
-//! The crate does no I/O, reads no clock and starts no thread. Whoever waits for room hands in a closure
-//! that is called once there is some.
+//! The crate does no I/O, reads no clock and starts no thread. Callers that wait for room pass a closure that
+//! is called once there is some.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/ledger/src/pressure.rs
+++ b/crates/ledger/src/pressure.rs
@@ -1,73 +1,75 @@
-//! What a full account leads to. The table of [`Purpose`]s says which of three ways a purpose takes; here it
-//! is applied to the case at hand.
+//! Decides what to do when an account is full: applies the rule that the table of [`Purpose`]s gives for the
+//! purpose.
 use crate::purpose::{Answer, Purpose};
 use crate::Ms;
 
-/// The longest for which whoever sends is read no further; after that its connection ends.
-const SLOWED_MS: Ms = 1000.0;
-/// Advice where what is held goes by itself soon: calls end within seconds.
-const SOON_MS: Ms = 100.0;
-/// The least and the most advice where it is known when something is given back.
-const LEAST_ADVICE_MS: Ms = 1000.0;
-const MOST_ADVICE_MS: Ms = 3_600_000.0;
-/// Advice where only an operator makes room.
-const OPERATOR_MS: Ms = 60_000.0;
+/// Longest time for which reading from a sender is paused; after that its connection is closed.
+const MAX_READ_PAUSE_MS: Ms = 1000.0;
+/// Retry advice where memory is usually released soon: calls end within seconds.
+const SHORT_RETRY_MS: Ms = 100.0;
+/// Bounds of the retry advice where the time of the next release is known.
+const MIN_RETRY_MS: Ms = 1000.0;
+const MAX_RETRY_MS: Ms = 3_600_000.0;
+/// Retry advice where only an operator can make room.
+const OPERATOR_RETRY_MS: Ms = 60_000.0;
 
-/// A case in which something did not fit.
+/// A reservation that did not fit.
 #[derive(Clone, Copy, Debug)]
 pub struct Case {
-    /// What it was wanted for.
+    /// Purpose of the reservation.
     pub purpose: Purpose,
-    /// Bytes that were asked for.
+    /// Bytes asked for.
     pub asked: usize,
-    /// What the account may hold in all, in bytes.
+    /// Cap of the account, in bytes.
     pub cap: usize,
-    /// Bytes that are held there and owed to nobody.
+    /// Bytes held there that nothing needs and that may be evicted.
     pub idle: usize,
-    /// How long until something is given back, where that is known, in milliseconds.
+    /// Time until memory is released, if known, in milliseconds.
     pub frees_in: Option<Ms>,
-    /// For how long whoever sends has been held up already, in milliseconds.
+    /// How long reading from the sender has been paused already, in milliseconds.
     pub waited: Ms,
 }
 
-/// What is done.
+/// What to do about a full account.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Decision {
-    /// At least so many idle bytes give way, the longest unused first; then it is tried again.
+    /// Evict at least this many idle bytes, least recently used first, then try again.
     Evict {
-        /// How many, in bytes.
+        /// Bytes to evict.
         bytes: usize,
     },
-    /// Read no further until there is room, for so long at most; then decide again.
+    /// Stop reading from the sender until there is room, at most for this long; then decide again.
     Wait {
-        /// How long, in milliseconds.
+        /// Longest wait, in milliseconds.
         at_most: Ms,
     },
-    /// Turned away.
+    /// Refuse the work.
     Refuse {
-        /// Advice when to come again, in milliseconds; `None` where coming again is of no use.
+        /// Suggested delay before a retry, in milliseconds; `None` if a retry cannot succeed.
         retry_after: Option<Ms>,
     },
 }
 
-/// Decides a case.
+/// Decides what to do about a reservation that did not fit.
 pub fn decide(case: &Case) -> Decision {
-    // What could never fit is not worth waiting for, nor throwing others out.
+    // A reservation that can never fit is not worth waiting or evicting for.
     if case.asked > case.cap {
         return Decision::Refuse { retry_after: None };
     }
     match case.purpose.terms().at_cap {
         Answer::Evict if case.idle > 0 => Decision::Evict { bytes: case.asked.min(case.idle) },
-        Answer::Slow if case.waited < SLOWED_MS => Decision::Wait { at_most: SLOWED_MS - case.waited },
-        _ => Decision::Refuse { retry_after: Some(advice(case)) },
+        Answer::Slow if case.waited < MAX_READ_PAUSE_MS => {
+            Decision::Wait { at_most: MAX_READ_PAUSE_MS - case.waited }
+        }
+        _ => Decision::Refuse { retry_after: Some(retry_after(case)) },
     }
 }
 
-fn advice(case: &Case) -> Ms {
+fn retry_after(case: &Case) -> Ms {
     match (case.purpose, case.frees_in) {
-        (Purpose::Catalog | Purpose::Roster, None) => OPERATOR_MS,
-        (_, Some(span)) => span.clamp(LEAST_ADVICE_MS, MOST_ADVICE_MS),
-        (_, None) => SOON_MS,
+        (Purpose::Catalog | Purpose::Roster, None) => OPERATOR_RETRY_MS,
+        (_, Some(span)) => span.clamp(MIN_RETRY_MS, MAX_RETRY_MS),
+        (_, None) => SHORT_RETRY_MS,
     }
 }
 
--- a/crates/ledger/src/pressure/tests.rs
+++ b/crates/ledger/src/pressure/tests.rs
@@ -5,46 +5,47 @@
 }
 
 #[test]
-fn every_purpose_is_answered_as_its_line_says() {
+fn every_purpose_follows_its_table_entry() {
     for purpose in Purpose::all() {
         let fresh = decide(&case(purpose));
         let idle = decide(&Case { idle: 4, ..case(purpose) });
-        let worn = decide(&Case { waited: SLOWED_MS, ..case(purpose) });
+        let already_paused = decide(&Case { waited: MAX_READ_PAUSE_MS, ..case(purpose) });
         let refused =
             |decision| matches!(decision, Decision::Refuse { retry_after: Some(span) } if span > 0.0);
         match purpose.terms().at_cap {
-            Answer::Refuse => assert!(refused(fresh) && refused(idle) && refused(worn), "{purpose:?}"),
+            Answer::Refuse => {
+                assert!(refused(fresh) && refused(idle) && refused(already_paused), "{purpose:?}")
+            }
             Answer::Evict => {
                 assert_eq!(idle, Decision::Evict { bytes: 4 }, "{purpose:?}");
-                assert!(refused(fresh), "nothing that is owed gives way: {purpose:?}");
+                assert!(refused(fresh), "nothing in use is evicted: {purpose:?}");
             }
             Answer::Slow => {
-                assert_eq!(fresh, Decision::Wait { at_most: SLOWED_MS });
-                assert!(refused(worn), "nobody is held up for ever: {purpose:?}");
+                assert_eq!(fresh, Decision::Wait { at_most: MAX_READ_PAUSE_MS });
+                assert!(refused(already_paused), "reading is not paused forever: {purpose:?}");
             }
         }
     }
 }
 
 #[test]
-fn what_can_never_fit_is_told_so() {
+fn a_reservation_over_the_cap_gets_no_retry_advice() {
     for purpose in Purpose::all() {
         let huge = Case { asked: 101, idle: 100, ..case(purpose) };
         assert_eq!(decide(&huge), Decision::Refuse { retry_after: None });
     }
 }
 
-/// Guards clients against advice that is of no use: records that are kept for an hour make no room in a
-/// second.
+/// Guards against useless retry advice: if records are kept for an hour, no room is made within a second.
 #[test]
-fn advice_follows_what_is_known() {
+fn retry_advice_follows_the_next_known_release() {
     let advice = |purpose, frees_in| match decide(&Case { frees_in, ..case(purpose) }) {
         Decision::Refuse { retry_after: Some(span) } => span,
         other => panic!("{other:?}"),
     };
     assert_eq!(advice(Purpose::DeferredFinal, Some(1_200_000.0)), 1_200_000.0);
-    assert_eq!(advice(Purpose::DeferredFinal, Some(3.0)), LEAST_ADVICE_MS);
-    assert_eq!(advice(Purpose::Keys, Some(1e12)), MOST_ADVICE_MS);
-    assert_eq!(advice(Purpose::Calls, None), SOON_MS);
-    assert_eq!(advice(Purpose::Catalog, None), OPERATOR_MS);
+    assert_eq!(advice(Purpose::DeferredFinal, Some(3.0)), MIN_RETRY_MS);
+    assert_eq!(advice(Purpose::Keys, Some(1e12)), MAX_RETRY_MS);
+    assert_eq!(advice(Purpose::Calls, None), SHORT_RETRY_MS);
+    assert_eq!(advice(Purpose::Catalog, None), OPERATOR_RETRY_MS);
 }
--- a/crates/ledger/src/purpose.rs
+++ b/crates/ledger/src/purpose.rs
@@ -1,64 +1,65 @@
-//! What memory is held for, and what becomes of more when a purpose is full: one table.
+//! The purposes that memory is held for, and what happens when the account of one is full.
 use crate::KIB;
 
-/// What a full account leads to.
+/// What happens when an account is full.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// The work is turned away, with advice when to come again.
+    /// The work is refused, with advice when to retry.
     Refuse,
-    /// What is owed to nobody gives way, the longest unused first; without any, the newcomer is turned away.
+    /// Memory that nothing needs is evicted, least recently used first; if there is none, the new entry is
+    /// refused.
     Evict,
-    /// Whoever sends is read no further until there is room, for a while.
+    /// Reading from the sender is paused until there is room, for a limited time.
     Slow,
 }
 
 /// What memory is held for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Purpose {
-    /// Calls that are owed an answer: their tasks and bodies.
+    /// Calls that are not yet answered: their tasks and bodies.
     Calls,
-    /// Connections of clients and what was read from them.
+    /// Client connections and the data read from them.
     Clients,
-    /// Connections to workers, orders that are out, and what was read.
+    /// Connections to workers, orders in flight, and the data read from workers.
     Workers,
-    /// Workers heard of.
+    /// Known workers.
     Roster,
-    /// What the decisions have learnt of models and workers.
+    /// What the dispatcher has learnt about models and workers.
     Learnt,
     /// Configured functions and workers.
     Catalog,
     /// Deferred calls without a final answer.
     DeferredOpen,
-    /// Final answers of deferred calls, kept until they may be forgotten.
+    /// Final answers of deferred calls, kept until they may be dropped.
     DeferredFinal,
-    /// Idempotency keys, with the answers that a repeat is given.
+    /// Idempotency keys, with the answers returned to repeated calls.
     Keys,
-    /// Records on their way to the log.
+    /// Records that are being written to the log.
     Log,
     /// Messages between nodes.
     Replication,
     /// Timers that are set.
     Timers,
-    /// Operators' connections: their own, so that clients can't take them.
+    /// Operators' connections, counted separately so that clients cannot use up their memory.
     Operators,
 }
 
-/// The terms of one purpose.
+/// The settings of one purpose.
 #[derive(Clone, Copy, Debug)]
 pub struct Terms {
     /// The purpose.
     pub purpose: Purpose,
     /// Its name in files, logs and metrics.
     pub name: &'static str,
-    /// What a full account leads to.
+    /// What happens when an account is full.
     pub at_cap: Answer,
-    /// Its part of the budget of a daemon, in percent, unless the file says otherwise.
+    /// Default share of the budget of a daemon, in percent.
     pub daemon: f64,
-    /// The same on the platform, where nothing is deferred, keyed, logged or replicated.
+    /// Default share on the platform, where nothing is deferred, keyed, logged or replicated, in percent.
     pub platform: f64,
-    /// The least cap that is of use, in bytes: a smaller one is refused at load.
+    /// Smallest useful cap, in bytes; a configuration with a smaller one is rejected.
     pub floor: usize,
-    /// Whether tenants have parts of their own.
+    /// Whether the account is split between tenants.
     pub by_tenant: bool,
 }
 
@@ -92,15 +93,15 @@
 ];
 
 impl Purpose {
-    /// How many there are.
+    /// Number of purposes.
     pub const COUNT: usize = TABLE.len();
 
-    /// All of them.
+    /// All purposes, in the order of the table.
     pub fn all() -> impl Iterator<Item = Purpose> {
         TABLE.iter().map(|terms| terms.purpose)
     }
 
-    /// Its line in the table.
+    /// The table entry of the purpose.
     pub fn terms(self) -> &'static Terms {
         &TABLE[self as usize]
     }
@@ -110,7 +111,7 @@
         self.terms().name
     }
 
-    /// The purpose of that name.
+    /// Finds a purpose by name.
     pub fn named(name: &str) -> Option<Purpose> {
         Purpose::all().find(|purpose| purpose.name() == name)
     }
--- a/crates/ledger/src/tenancy.rs
+++ b/crates/ledger/src/tenancy.rs
@@ -1,67 +1,68 @@
-//! Parts of one account that belong to tenants, so that a flood by one pushes out no other's.
+//! Parts of one account that belong to tenants, so that a flood of calls by one does not displace the others.
 //!
-//! Memory that is held can't be called back, so what is promised to a tenant is kept free for it: most of
-//! the account is split by share, and the rest is common to whoever comes first. A tenant draws on its own
-//! part, then on the common one. Lending out idle parts was weighed: it uses memory better in quiet times,
-//! but a tenant whose part is lent out would have to wait until the borrower's calls end.
+//! Memory that is held cannot be reclaimed, so a tenant's part is kept free for it: most of the account is
+//! split by share, and the rest is common, first come first served. A tenant uses its own part first, then
+//! the common one. Idle parts are not lent to other tenants: that would use memory better at low load, but a
+//! tenant whose part is lent out would have to wait until the borrower's calls end.
 use crate::account::{Account, Full, Reservation};
 
-/// The part of an account that is split between tenants.
-const SPLIT: f64 = 0.75;
+/// Fraction of an account that is split between tenants; the rest is common.
+const SPLIT_FRACTION: f64 = 0.75;
 
-/// A tenant and its share in relation to the others'.
+/// A tenant and its share relative to the others.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TenantShare {
-    /// Its name.
+    /// Name of the tenant.
     pub name: String,
-    /// Its share; those without one have only what is common.
+    /// Relative share; a tenant with 0 has only the common part.
     pub weight: f64,
 }
 
-/// The parts of one account.
+/// One account split between tenants.
 #[derive(Debug)]
 pub struct Tenancy {
     own: Vec<Account>,
     common: Account,
-    parts: Vec<f64>,
+    fractions: Vec<f64>,
 }
 
 impl Tenancy {
-    /// Splits an account between tenants, in the order of their numbers.
+    /// Splits an account between tenants, which are numbered in this order.
     pub fn new(of: &Account, tenants: &[TenantShare]) -> Self {
         let weight =
             |tenant: &TenantShare| if tenant.weight.is_finite() { tenant.weight.max(0.0) } else { 0.0 };
         let sum: f64 = tenants.iter().map(weight).sum();
-        let part = |tenant: &TenantShare| if sum > 0.0 { SPLIT * weight(tenant) / sum } else { 0.0 };
+        let fraction =
+            |tenant: &TenantShare| if sum > 0.0 { SPLIT_FRACTION * weight(tenant) / sum } else { 0.0 };
         let tenancy = Tenancy {
             own: tenants.iter().map(|tenant| of.child(&tenant.name, 0)).collect(),
             common: of.child("common", 0),
-            parts: tenants.iter().map(part).collect(),
+            fractions: tenants.iter().map(fraction).collect(),
         };
         tenancy.set_cap(of.cap());
         tenancy
     }
 
-    /// Splits a new cap of the whole in the same way.
+    /// Splits a new cap of the whole account, in bytes, in the same proportions.
     pub fn set_cap(&self, cap: usize) {
-        let mut left = cap;
-        for (own, part) in self.own.iter().zip(&self.parts) {
-            let bytes = (cap as f64 * part) as usize;
-            left -= bytes.min(left);
+        let mut remaining = cap;
+        for (own, fraction) in self.own.iter().zip(&self.fractions) {
+            let bytes = (cap as f64 * fraction) as usize;
+            remaining -= bytes.min(remaining);
             own.set_cap(bytes);
         }
-        self.common.set_cap(left);
+        self.common.set_cap(remaining);
     }
 
-    /// Takes bytes for a tenant, or for nobody known.
+    /// Reserves bytes for a tenant; for an unknown tenant, from the common part.
     pub fn reserve(&self, tenant: Option<usize>, bytes: usize) -> Result<Reservation, Full> {
         let Some(own) = tenant.and_then(|tenant| self.own.get(tenant)) else {
             return self.common.reserve(bytes);
         };
         own.try_reserve(bytes).or_else(|full| {
             self.common.try_reserve(bytes).map_err(|common| {
-                full.count();
-                // The larger of the two tells whether it could fit at another time.
+                full.count_refusal();
+                // The larger cap of the two shows whether the reservation could fit later.
                 if common.cap > full.cap {
                     common
                 } else {
@@ -71,7 +72,7 @@
         })
     }
 
-    /// Takes bytes that are owed already from the common part.
+    /// Adds bytes that must be held in any case to the common part; see [`Account::owe`].
     pub fn owe(&self, bytes: usize) -> Reservation {
         self.common.owe(bytes)
     }
--- a/crates/ledger/tests/tree_model.rs
+++ b/crates/ledger/tests/tree_model.rs
@@ -1,9 +1,9 @@
-//! A tree of accounts against a model that adds up what is held, by random steps.
+//! Compares a tree of accounts with a model that sums up what is held, over random steps.
 use corkbay_ledger::{Account, Reservation};
 use proptest::prelude::*;
 
 const ACCOUNTS: usize = 6;
-/// The account above each, the root first.
+/// Parent of each account, the root first.
 const PARENTS: [usize; ACCOUNTS] = [0, 0, 0, 1, 1, 3];
 
 #[derive(Clone, Debug)]
@@ -24,7 +24,7 @@
     ]
 }
 
-/// What is held, told apart from the accounts' own counting.
+/// What is held, tracked independently of the accounts' counters.
 #[derive(Default)]
 struct Model {
     held: Vec<(usize, usize)>,
@@ -32,25 +32,27 @@
 }
 
 impl Model {
-    fn line(at: usize) -> Vec<usize> {
-        let mut line = vec![at];
-        while line[line.len() - 1] != 0 {
-            line.push(PARENTS[line[line.len() - 1]]);
+    fn path_to_root(at: usize) -> Vec<usize> {
+        let mut path_to_root = vec![at];
+        while path_to_root[path_to_root.len() - 1] != 0 {
+            path_to_root.push(PARENTS[path_to_root[path_to_root.len() - 1]]);
         }
-        line
+        path_to_root
     }
 
     fn used(&self, at: usize) -> usize {
-        self.held.iter().filter(|held| Model::line(held.0).contains(&at)).map(|held| held.1).sum()
+        self.held.iter().filter(|held| Model::path_to_root(held.0).contains(&at)).map(|held| held.1).sum()
     }
 
     fn fits(&self, at: usize, bytes: usize) -> bool {
-        bytes == 0 || Model::line(at).into_iter().all(|above| self.used(above) + bytes <= self.caps[above])
+        bytes == 0
+            || Model::path_to_root(at).into_iter().all(|above| self.used(above) + bytes <= self.caps[above])
     }
 }
 
 proptest! {
-    /// Guards against bytes that are counted twice, lost on a refusal half way up, or let in over a cap.
+    /// Guards against bytes that are counted twice, lost when a reservation fails at an ancestor, or accepted
+    /// over a cap.
     #[test]
     fn the_tree_counts_what_is_held(steps in proptest::collection::vec(step(), 1..120)) {
         let mut model = Model { caps: [100, 80, 60, 50, 40, 30], ..Model::default() };
@@ -98,7 +100,7 @@
     }
 }
 
-/// Guards the counting against threads that take and give back at the same time.
+/// Guards the counters against threads that reserve and release at the same time.
 #[test]
 fn threads_at_once_leave_nothing_behind_and_pass_no_cap() {
     let root = Account::root("all", 1000);
