--- a/crates/duty/src/duty.rs
+++ b/crates/duty/src/duty.rs
@@ -15,7 +15,8 @@
 
 /// Connections are ended this long before `gone`, which leaves time for the last answers.
 const LAST_ANSWERS_MARGIN_MS: Ms = 400.0;
-/// A request may have arrived this much before it was read: its last byte may have waited for the reader.
+/// A request counts as this much more recent than the time at which it was read, because its last byte may have
+/// waited for the reader.
 const MAX_READ_DELAY_MS: Ms = 200.0;
 
 /// Why the invoker leaves its clients; a greater value is the stronger reason.
--- a/crates/node/src/core/invoker.rs
+++ b/crates/node/src/core/invoker.rs
@@ -338,8 +338,8 @@
 }
 
 impl DispatcherState {
-    /// Reserves memory for a model that is to be called; if there is none left, the dispatcher forgets what
-    /// is least useful.
+    /// Reserves memory for a model that is to be called. If there is none left, the dispatcher forgets models:
+    /// those that were never loaded first, then the least recently used.
     fn reserve_model(&mut self, model: ModelId) -> Result<(), Full> {
         let asked = self.dispatcher.adds(model);
         let grown_bytes = |core: &DispatcherState| core.learnt.bytes() + asked;
--- a/crates/node/src/core/invoker/request.rs
+++ b/crates/node/src/core/invoker/request.rs
@@ -10,8 +10,8 @@
 use may::sync::Mutex;
 use std::sync::Arc;
 
-/// An unserved request that ends less than this before its deadline counts as late; the dispatcher uses the
-/// same margin.
+/// An unserved request that ends less than this before its deadline counts as late, because the dispatcher
+/// ends requests shortly before their deadline.
 const DEADLINE_MARGIN_MS: Ms = 40.0;
 
 /// Longest wait for memory for an answer that has arrived.
--- a/crates/node/src/core/invoker/tests.rs
+++ b/crates/node/src/core/invoker/tests.rs
@@ -141,7 +141,7 @@
 #[test]
 fn the_next_attempt_does_not_overtake_the_cancel_notice_of_the_last() {
     for second_copies in [false, true] {
-        // The unsent cancel notice, and whether another send overtaken_flag before it was sent.
+        // The unsent cancel notice, and whether another send arrived before it was sent.
         let held = Arc::<std::sync::Mutex<Option<CancelNotice>>>::default();
         let overtaken = Arc::new(AtomicBool::new(false));
         let overtaken_flag = overtaken.clone();
