--- a/crates/node/src/memory/catalog.rs
+++ b/crates/node/src/memory/catalog.rs
@@ -1,4 +1,4 @@
-//! The functions and workers that the store holds as configuration.
+//! The configured functions and workers in the store.
 use super::hash::fnv1a;
 use super::keys::{FUNCTION, WORKER};
 use super::record::{Record, Text};
@@ -13,25 +13,25 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Functions have ids below this.
-const MODELS: u64 = 1 << 40;
+/// Upper bound of the ids of functions, exclusive.
+const MODEL_ID_LIMIT: u64 = 1 << 40;
 
-/// A function that can be invoked.
+/// The configuration of a function.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Function {
-    /// Its class.
+    /// Class of its calls.
     pub class: String,
-    /// Its tenant, where there are tenants.
+    /// Name of its tenant; empty if no tenants are configured.
     #[serde(default)]
     pub tenant: String,
-    /// Memory of one copy, MB.
+    /// Memory of one loaded copy, in MB.
     #[serde(default)]
     pub memory_mb: f64,
-    /// Calls at a time in one copy.
+    /// Maximum number of concurrent calls in one copy.
     #[serde(default = "one")]
     pub lanes: u32,
-    /// Rough core time of a call, milliseconds.
+    /// Approximate CPU time of a call, in milliseconds.
     pub cost_ms: Option<f64>,
 }
 
@@ -40,44 +40,44 @@
 }
 
 impl Function {
-    /// The number under which the decisions know the function of that name: FNV-1a, cut to the range.
+    /// The model id of the function with this name: its FNV-1a hash modulo the id range.
     pub fn model(&self, name: &str) -> ModelId {
-        ModelId(fnv1a(name.as_bytes()) % MODELS)
+        ModelId(fnv1a(name.as_bytes()) % MODEL_ID_LIMIT)
     }
 }
 
-/// Whether a worker takes work.
+/// The administrative state of a worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
-    /// It does.
+    /// Accepts work.
     #[default]
     Up,
-    /// It finishes what it has.
+    /// Finishes its work and accepts no more.
     Draining,
-    /// It is gone.
+    /// Removed from service.
     Removed,
 }
 
-/// A worker.
+/// The configuration of a worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Worker {
-    /// Where it listens.
+    /// Address it listens on.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Name of its zone.
     #[serde(default)]
     pub zone: String,
-    /// Its machine kind.
+    /// Name of its machine kind.
     #[serde(default)]
     pub kind: String,
-    /// Its rack.
+    /// Number of its cell (rack).
     #[serde(default)]
     pub cell: i64,
-    /// Size in relation to the others.
+    /// Capacity relative to other workers; 1.0 is nominal.
     #[serde(default = "nominal")]
     pub weight: f64,
-    /// Whether it takes work.
+    /// Administrative state.
     #[serde(default)]
     pub state: State,
 }
@@ -86,12 +86,12 @@
     1.0
 }
 
-/// Why a change did not happen.
+/// Why a change of the catalog failed.
 #[derive(Debug)]
 pub enum CatalogError {
-    /// The value can't stand.
+    /// The value is invalid.
     Value(String),
-    /// The store did not take it.
+    /// The store rejected the write.
     Store(StoreError),
 }
 
@@ -112,14 +112,14 @@
     }
 }
 
-/// The configuration in the store.
+/// Access to the functions and workers in the store.
 pub struct Catalog {
     store: Arc<Store>,
     give_up: Vec<Ms>,
 }
 
 impl Catalog {
-    /// The catalog in a store, with the longest time of each class.
+    /// A catalog in `store`; `give_up` is the maximum duration of a call of each class, in milliseconds.
     pub fn new(store: Arc<Store>, give_up: Vec<Ms>) -> Self {
         Catalog { store, give_up }
     }
@@ -133,27 +133,27 @@
         &self.store
     }
 
-    /// The longest time of a class.
+    /// Maximum duration of a call of this class, in milliseconds.
     pub fn give_up(&self, class: usize) -> Ms {
         self.give_up.get(class).copied().unwrap_or(1000.0)
     }
 
-    /// A function.
+    /// The function with this name.
     pub fn function(&self, name: &str) -> Option<Function> {
         self.store.get(&format!("{FUNCTION}{name}"))?.value?.read().ok()
     }
 
-    /// All functions as a JSON object, by name.
+    /// All functions by name, to be written as a JSON object.
     pub fn functions(&self) -> Object {
-        Object { records: self.store.under(FUNCTION), prefix: FUNCTION.len() }
+        Object { records: self.store.under(FUNCTION), prefix_bytes: FUNCTION.len() }
     }
 
-    /// All workers as a JSON object, by name.
+    /// All workers by name, to be written as a JSON object.
     pub fn listed_workers(&self) -> Object {
-        Object { records: self.store.under(WORKER), prefix: WORKER.len() }
+        Object { records: self.store.under(WORKER), prefix_bytes: WORKER.len() }
     }
 
-    /// A worker.
+    /// The worker with this name.
     pub fn worker(&self, name: &str) -> Option<Worker> {
         self.store.get(&format!("{WORKER}{name}"))?.value?.read().ok()
     }
@@ -178,37 +178,37 @@
         if !worker.weight.is_finite() || worker.weight <= 0.0 {
             return Err(CatalogError::Value("weight: not above 0".into()));
         }
-        // Whatever is full, a worker can be told to take nothing more.
+        // Draining or removing a worker must work even if the account is full.
         self.put(&format!("{WORKER}{name}"), Text::of(worker).ok(), worker.state != State::Up)
     }
 
-    /// Takes a function away.
+    /// Removes a function.
     pub fn remove_function(&self, name: &str) -> Result<(), CatalogError> {
         self.put(&format!("{FUNCTION}{name}"), None, true)
     }
 
-    /// Takes a worker away.
+    /// Removes a worker.
     pub fn remove_worker(&self, name: &str) -> Result<(), CatalogError> {
         self.put(&format!("{WORKER}{name}"), None, true)
     }
 
-    /// Tells the decisions which workers there are.
+    /// Passes the complete list of workers to the invoker.
     pub fn announce(&self, invoker: &Arc<Invoker>) {
         let listings = self.workers().into_iter().map(|(name, worker)| listing(name, worker));
         invoker.news(listings.collect(), true, false);
     }
 
-    /// Tells the decisions of one worker that was added or changed.
+    /// Passes one added or changed worker to the invoker.
     pub fn announce_worker(&self, invoker: &Arc<Invoker>, name: &str) {
         match self.worker(name) {
             Some(worker) => invoker.news(vec![listing(name.to_string(), worker)], false, false),
-            // Taken away meanwhile.
+            // Removed in the meantime.
             None => self.announce(invoker),
         }
     }
 
-    fn put(&self, key: &str, value: Option<Text>, owed: bool) -> Result<(), CatalogError> {
-        self.store.put(&mut Draft { owed, ..Draft::new(key, value) })?;
+    fn put(&self, key: &str, value: Option<Text>, may_exceed_cap: bool) -> Result<(), CatalogError> {
+        self.store.put(&mut Draft { may_exceed_cap, ..Draft::new(key, value) })?;
         Ok(())
     }
 
@@ -240,26 +240,26 @@
     }
 }
 
-/// Entries on their way out as one JSON object. They share what they hold with the store until the text is
-/// made, which takes [`Object::size`] more.
+/// Entries of the catalog that are to be written as one JSON object. They share their contents with the store until the
+/// text is built, which takes another [`Object::size`] bytes.
 pub struct Object {
     records: Vec<Record>,
-    prefix: usize,
+    prefix_bytes: usize,
 }
 
 impl Object {
-    /// The length of the text, in bytes, or a little more.
+    /// An upper bound of the length of the text, in bytes.
     pub fn size(&self) -> usize {
         let entry = |record: &Record| record.key.len() + record.text().len() + 4;
         2 + self.records.iter().map(entry).sum::<usize>()
     }
 
-    /// The text. Names need no quoting: they hold letters, digits and -_.: only.
+    /// The JSON text. Names need no escaping: they contain only letters, digits and -_.: characters.
     pub fn into_text(self) -> Vec<u8> {
         let mut text = Vec::with_capacity(self.size());
-        for (place, record) in self.records.iter().enumerate() {
-            text.extend_from_slice(if place == 0 { b"{\"" } else { b",\"" });
-            text.extend_from_slice(&record.key.as_bytes()[self.prefix..]);
+        for (index, record) in self.records.iter().enumerate() {
+            text.extend_from_slice(if index == 0 { b"{\"" } else { b",\"" });
+            text.extend_from_slice(&record.key.as_bytes()[self.prefix_bytes..]);
             text.extend_from_slice(b"\":");
             text.extend_from_slice(record.text().as_bytes());
         }
@@ -268,10 +268,10 @@
     }
 }
 
-/// A name that can stand in a path and on the wire.
+/// Checks that a name can be used in URL paths and on the wire: letters, digits and -_.: characters, 1 to 100 bytes.
 pub fn check_name(name: &str) -> Result<(), CatalogError> {
-    let plain = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.:".contains(&byte);
-    if name.is_empty() || name.len() > 100 || !name.bytes().all(plain) {
+    let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.:".contains(&byte);
+    if name.is_empty() || name.len() > 100 || !name.bytes().all(is_allowed) {
         return Err(CatalogError::Value(format!("{name:?} is no name of letters, digits and -_.:")));
     }
     Ok(())
--- a/crates/node/src/memory/invocations.rs
+++ b/crates/node/src/memory/invocations.rs
@@ -1,8 +1,8 @@
-//! Invocations of the invoke API: repeats of a key, and the records of deferred calls.
+//! Invocations of the invoke API: idempotency keys, and the records of deferred calls.
 //!
-//! What a call will have to keep is reserved before it is run: the largest answer that a repeat of its key
-//! may be given, and the largest final record that its client may collect. What the answer turns out not to
-//! need goes back at its end.
+//! Memory for what a call leaves behind is reserved before the call runs: for the largest answer that a repeat of its
+//! idempotency key may receive, and for the largest final record that its client may fetch. Memory that the answer
+//! doesn't need is released when the call ends.
 mod rerun;
 
 pub use rerun::{Rerun, Resumable};
@@ -20,94 +20,98 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Pauses between tries to keep a final answer that the log did not take.
-const KEEP_PAUSES_MS: [u64; 4] = [50, 200, 1000, 3000];
-/// What a key costs beside its texts and its answer: its place in a map that is at times half empty, and the
-/// heads of its allocations.
-const KEY_COST: usize = 2 * (std::mem::size_of::<Key>() + std::mem::size_of::<Known>()) + 3 * 32;
-/// What a final record holds beside what the open one does and the answer's own bytes.
-const END_COST: usize = 128;
-/// Least time between two looks for keys whose window is over, in milliseconds.
-const LOOK_MS: Ms = 250.0;
+/// Delays between attempts to store a final answer after a log error, in milliseconds.
+const STORE_RETRY_DELAYS_MS: [u64; 4] = [50, 200, 1000, 3000];
+/// Memory overhead of a key beside its texts and its answer, in bytes: its entry in a map that may be half empty, and
+/// the allocator headers of its allocations.
+const KEY_OVERHEAD_BYTES: usize = 2 * (std::mem::size_of::<Key>() + std::mem::size_of::<KeyEntry>()) + 3 * 32;
+/// Additional size of a final record compared to the open one, without the answer's body, in bytes.
+const FINAL_OVERHEAD_BYTES: usize = 128;
+/// Minimum interval between two scans for expired keys, in milliseconds.
+const KEY_SCAN_INTERVAL_MS: Ms = 250.0;
 
-/// A function and an idempotency key.
+/// The name of a function and an idempotency key.
 pub type Key = (String, String);
 
-/// What the store holds of a deferred call.
+/// The stored state of a deferred call.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Deferred {
-    /// The function called.
+    /// Name of the called function.
     pub function: String,
-    /// The idempotency key, where the class wants one.
+    /// The idempotency key, if the class requires one.
     pub key: Option<String>,
-    /// A check over the body that came with the key.
+    /// CRC-32 of the body that was sent with the key.
     pub body_check: u32,
-    /// Until then a repeat of the key is answered from here.
+    /// Until when a repeat of the key is answered from this record.
     pub repeats_until: UnixTime,
-    /// For how long that is from the time at which the call was accepted, in milliseconds. After a restart the key is
-    /// kept for so long again: the wall clock may have been stepped while nobody ran.
+    /// The same as a duration from the acceptance of the call, in milliseconds. After a restart the key is kept for this
+    /// duration again, as the wall clock may have been stepped while the process was down.
     #[serde(default)]
     pub repeats_for: Ms,
-    /// Its one final answer.
+    /// The final answer.
     pub answer: Option<Answer>,
-    /// What it takes to run it again, while it is open and where its class may be repeated.
+    /// The data to run the call again after a restart, while it is open and if calls of its class may be repeated.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub rerun: Option<Rerun>,
 }
 
-/// A deferred call that was accepted, with the room for its end.
+/// An accepted deferred call, with memory reserved for its final record.
 pub struct Promise {
     deferred: Deferred,
     room: Reservation,
 }
 
-/// What a call with a key turns out to be.
+/// The result of looking up the idempotency key of a call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Repeat {
-    /// New: it is to be run, and then told to [`Invocations::finish`].
+    /// A new key: run the call and then report its end to [`Invocations::finish`].
     Fresh,
-    /// The first call with this key is still open.
+    /// The first call with this key is still running.
     Open(RequestId),
-    /// It has this answer.
+    /// The first call with this key has this answer.
     Done(RequestId, Answer),
-    /// The key came with another body before.
+    /// The key was used with another body before.
     Mismatch,
-    /// There is no room for another key; come again after so many milliseconds, where that is of use.
+    /// There is no room for another key. Holds the suggested delay before a retry in milliseconds, `None` if a retry won't
+    /// help.
     Crowded(Option<Ms>),
 }
 
-struct Known {
+struct KeyEntry {
     id: RequestId,
+    /// CRC-32 of the body that was sent with the key.
     body_check: u32,
+    /// When the key expires, on the monotonic clock in milliseconds.
     until: Ms,
     answer: Option<Answer>,
     held: Reservation,
 }
 
-/// The keys of one node.
+/// The idempotency keys of one node.
 #[derive(Default)]
 struct Keys {
-    known: HashMap<Key, Known>,
-    looked: Ms,
-    /// When the first of them is over, as of the last look.
-    soonest: Ms,
+    entries: HashMap<Key, KeyEntry>,
+    /// When the keys were last scanned, on the monotonic clock in milliseconds.
+    last_scan: Ms,
+    /// When the first key expires, as of the last scan, on the monotonic clock in milliseconds.
+    next_expiry: Ms,
 }
 
 impl Keys {
-    /// Forgets keys whose window is over.
+    /// Drops expired keys.
     fn forget(&mut self, now: Ms) {
-        self.looked = now;
-        self.known.retain(|_, known| known.answer.is_none() || known.until > now);
-        self.soonest = self.known.values().map(|known| known.until).fold(f64::INFINITY, f64::min);
-        if self.known.capacity() > 4 * self.known.len() {
-            self.known.shrink_to(2 * self.known.len());
+        self.last_scan = now;
+        self.entries.retain(|_, entry| entry.answer.is_none() || entry.until > now);
+        self.next_expiry = self.entries.values().map(|entry| entry.until).fold(f64::INFINITY, f64::min);
+        if self.entries.capacity() > 4 * self.entries.len() {
+            self.entries.shrink_to(2 * self.entries.len());
         }
     }
 }
 
-/// Who waits for an end.
+/// Callers that wait for the end of a call.
 #[derive(Default)]
-struct Waiting {
+struct Waiters {
     next: u64,
     senders: BTreeMap<u64, mpsc::Sender<()>>,
 }
@@ -115,23 +119,26 @@
 /// The invocations of one node.
 pub struct Invocations {
     store: Arc<Store>,
+    /// How long a deferred call is kept after its last write or the expiry of its key, whichever is later; in
+    /// milliseconds.
     retention: Ms,
-    /// Largest body of an answer, in bytes.
-    largest: usize,
+    /// Maximum body of an answer, in bytes.
+    max_answer_bytes: usize,
     keys: Mutex<Keys>,
-    waiting: Mutex<Waiting>,
-    /// Calls that were found open at the start and may be run again.
+    waiters: Mutex<Waiters>,
+    /// Calls that were open when the previous process ended and may be run again.
     resumable: Mutex<Vec<Resumable>>,
 }
 
 impl Invocations {
-    /// Takes over what the store holds; `largest` is the largest body of an answer, in bytes. A call that this node had
-    /// accepted and not finished when it stopped may have run. It is [run again](Invocations::take_resumable) where its
-    /// class may be repeated; any other fails, and nothing of it is sent again.
-    pub fn new(store: Arc<Store>, retention: Duration, largest: usize) -> Result<Self, StoreError> {
+    /// Restores the keys and open calls from the store; `max_answer_bytes` is the maximum body of an answer. A call that
+    /// this node had accepted but not finished when it stopped may have run. It is
+    /// [run again](Invocations::take_resumable) if calls of its class may be repeated; otherwise it fails and is not sent
+    /// again.
+    pub fn new(store: Arc<Store>, retention: Duration, max_answer_bytes: usize) -> Result<Self, StoreError> {
         let retention = retention.as_secs_f64() * 1000.0;
-        let (keys, waiting, resumable) = (Mutex::default(), Mutex::default(), Mutex::default());
-        let invocations = Invocations { store, retention, largest, keys, waiting, resumable };
+        let (keys, waiters, resumable) = (Mutex::default(), Mutex::default(), Mutex::default());
+        let invocations = Invocations { store, retention, max_answer_bytes, keys, waiters, resumable };
         for record in invocations.store.under(INVOCATION) {
             let (Some(id), Some(mut deferred)) = (id_of(&record), read(&record)) else { continue };
             if &*record.node != invocations.store.node() {
@@ -143,62 +150,64 @@
             }
             if !record.is_final {
                 deferred.answer = Some(Answer::Failed(Failure { may_have_run: true, late: false }));
-                let end = Draft { owed: true, ..invocations.draft(&deferred, true) };
-                invocations.store.put(&mut Draft { key: &key_of(id), ..end })?;
+                let final_draft = Draft { may_exceed_cap: true, ..invocations.draft(&deferred, true) };
+                invocations.store.put(&mut Draft { key: &key_of(id), ..final_draft })?;
             }
             let Deferred { function, key, body_check, repeats_until, repeats_for, answer, .. } = deferred;
             let until = match repeats_for {
-                // Written by an earlier version.
+                // Written by an earlier version, which did not store the duration.
                 0.0 => repeats_until.at_start_clock(),
                 span => monotonic_ms() + span,
             };
-            // A call that never ran had freed its key.
+            // A call that never ran released its key.
             if let Some(key) = key.filter(|_| answer.as_ref().is_some_and(may_have_run)) {
                 let key = (function, key);
-                let size = cost(&key) + answer.as_ref().map_or(0, kept);
+                let size = key_size(&key) + answer.as_ref().map_or(0, answer_size);
                 let held = invocations.store.ledger().owe(Purpose::Keys, size);
-                let known = Known { id, body_check, until, answer, held };
-                lock(&invocations.keys).known.insert(key, known);
+                let entry = KeyEntry { id, body_check, until, answer, held };
+                lock(&invocations.keys).entries.insert(key, entry);
             }
         }
         Ok(invocations)
     }
 
-    /// The calls that were found open at the start and may be run again; each is to be [finished](Invocations::finish).
+    /// Takes the calls that were open when the previous process ended and may be run again; each must be
+    /// [finished](Invocations::finish).
     pub fn take_resumable(&self) -> Vec<Resumable> {
         std::mem::take(&mut *lock(&self.resumable))
     }
 
-    /// Room for the end of a call that an earlier process accepted: it is owed, whatever is full.
+    /// Reserves memory for the final record of a call that an earlier process accepted, even above the account's cap.
     pub fn promise_again(&self, deferred: &Deferred) -> Promise {
-        let room = self.store.ledger().owe(Purpose::DeferredFinal, self.largest.div_ceil(3) * 4);
+        let room = self.store.ledger().owe(Purpose::DeferredFinal, self.max_answer_bytes.div_ceil(3) * 4);
         Promise { deferred: deferred.clone(), room }
     }
 
-    /// Notes a call with a key, unless one is known.
+    /// Registers a call under its idempotency key, unless the key is in use. `until` is when the key expires, on the
+    /// monotonic clock in milliseconds.
     pub fn admit(&self, key: &Key, id: RequestId, body: &[u8], until: Ms, tenant: Option<usize>) -> Repeat {
         let mut keys = lock(&self.keys);
         let now = monotonic_ms();
-        if now - keys.looked >= LOOK_MS {
+        if now - keys.last_scan >= KEY_SCAN_INTERVAL_MS {
             keys.forget(now);
         }
         let body_check = crc32fast::hash(body);
-        match keys.known.get(key) {
-            Some(known) if known.body_check != body_check => return Repeat::Mismatch,
-            Some(Known { id, answer: Some(answer), until, .. }) if *until > now => {
+        match keys.entries.get(key) {
+            Some(entry) if entry.body_check != body_check => return Repeat::Mismatch,
+            Some(KeyEntry { id, answer: Some(answer), until, .. }) if *until > now => {
                 return Repeat::Done(*id, answer.clone());
             }
-            Some(known @ Known { answer: None, .. }) => return Repeat::Open(known.id),
+            Some(entry @ KeyEntry { answer: None, .. }) => return Repeat::Open(entry.id),
             _ => {}
         }
-        let size = cost(key) + self.largest;
+        let size = key_size(key) + self.max_answer_bytes;
         match self.store.ledger().reserve(Purpose::Keys, tenant, size) {
             Ok(held) => {
-                keys.known.insert(key.clone(), Known { id, body_check, until, answer: None, held });
+                keys.entries.insert(key.clone(), KeyEntry { id, body_check, until, answer: None, held });
                 Repeat::Fresh
             }
             Err(full) => {
-                let frees_in = keys.soonest.is_finite().then(|| keys.soonest - now);
+                let frees_in = keys.next_expiry.is_finite().then(|| keys.next_expiry - now);
                 match refuse(Purpose::Keys, full, frees_in) {
                     StoreError::Full { retry_after, .. } => Repeat::Crowded(retry_after),
                     _ => Repeat::Crowded(None),
@@ -207,12 +216,12 @@
         }
     }
 
-    /// Frees a key whose call was not taken after all.
+    /// Releases a key whose call was not accepted.
     pub fn forget(&self, key: &Key) {
-        lock(&self.keys).known.remove(key);
+        lock(&self.keys).entries.remove(key);
     }
 
-    /// Keeps a deferred call before it is accepted, and holds room for its end.
+    /// Stores a deferred call before it is acknowledged, and reserves memory for its final record.
     pub fn accept(
         &self,
         id: RequestId,
@@ -223,25 +232,26 @@
         let text = open.value.as_ref().map_or(0, |text| text.as_str().len());
         let node = self.store.node().len();
         let open_size = Record::size_of(key.len(), text) + node;
-        let end_size = open_size + END_COST + self.largest.div_ceil(3) * 4;
-        let room = self.store.reserve(Purpose::DeferredFinal, tenant, end_size)?;
+        let final_size = open_size + FINAL_OVERHEAD_BYTES + self.max_answer_bytes.div_ceil(3) * 4;
+        let room = self.store.reserve(Purpose::DeferredFinal, tenant, final_size)?;
         let held = Some(self.store.reserve(Purpose::DeferredOpen, tenant, open_size)?);
         self.store.put(&mut Draft { key: &key, held, ..open })?;
         Ok(Promise { deferred, room })
     }
 
-    /// The call has its final answer. What has proved never to have run frees its key: the client's
-    /// next try with it is a first try.
+    /// Stores the final answer of a call. A call that certainly did not run releases its key, so that the client's next
+    /// call with the key is run.
     pub fn finish(&self, id: RequestId, key: Option<&Key>, answer: &Answer, promise: Option<Promise>) {
         if let Some(Promise { mut deferred, room }) = promise {
             (deferred.answer, deferred.rerun) = (Some(answer.clone()), None);
             let key = key_of(id);
-            let mut end = Draft { key: &key, held: Some(room), owed: true, ..self.draft(&deferred, true) };
-            let mut pauses = KEEP_PAUSES_MS.iter();
-            while let Err(error) = self.store.put(&mut end) {
+            let mut final_draft =
+                Draft { key: &key, held: Some(room), may_exceed_cap: true, ..self.draft(&deferred, true) };
+            let mut delays = STORE_RETRY_DELAYS_MS.iter();
+            while let Err(error) = self.store.put(&mut final_draft) {
                 tracing::error!(invocation = %key, %error, "a final answer was not kept");
-                match pauses.next().filter(|_| matches!(error, StoreError::Log(_))) {
-                    Some(pause) => timers::sleep(Duration::from_millis(*pause)),
+                match delays.next().filter(|_| matches!(error, StoreError::Log(_))) {
+                    Some(delay) => timers::sleep(Duration::from_millis(*delay)),
                     None => break,
                 }
             }
@@ -249,55 +259,55 @@
         if let Some(key) = key {
             let mut keys = lock(&self.keys);
             if may_have_run(answer) {
-                keys.known.entry(key.clone()).and_modify(|known| {
-                    known.answer = Some(answer.clone());
-                    known.held.shrink_to(cost(key) + kept(answer));
+                keys.entries.entry(key.clone()).and_modify(|entry| {
+                    entry.answer = Some(answer.clone());
+                    entry.held.shrink_to(key_size(key) + answer_size(answer));
                 });
             } else {
-                keys.known.remove(key);
+                keys.entries.remove(key);
             }
         }
         self.wake();
     }
 
-    /// The record of a deferred call.
+    /// The record of a deferred call, if it is stored.
     pub fn get(&self, id: RequestId) -> Option<(Record, Deferred)> {
         let record = self.store.get(&key_of(id))?;
         let deferred = read(&record)?;
         Some((record, deferred))
     }
 
-    /// The same, once it is final or that time has passed.
+    /// The record of a deferred call, once it is final or the time has passed.
     pub fn wait(&self, id: RequestId, within: Duration) -> Option<(Record, Deferred)> {
-        let end = monotonic_ms() + within.as_secs_f64() * 1000.0;
+        let deadline = monotonic_ms() + within.as_secs_f64() * 1000.0;
         loop {
-            let (sender, news) = mpsc::channel();
+            let (sender, wakeup) = mpsc::channel();
             let number = {
-                let mut waiting = lock(&self.waiting);
-                waiting.next += 1;
-                let number = waiting.next;
-                waiting.senders.insert(number, sender);
+                let mut waiters = lock(&self.waiters);
+                waiters.next += 1;
+                let number = waiters.next;
+                waiters.senders.insert(number, sender);
                 number
             };
             let found = self.get(id);
-            let over = found.as_ref().is_none_or(|found| found.0.is_final || monotonic_ms() >= end);
-            if !over {
-                let _ = timers::receive(&news, crate::core::until(end));
+            let is_done = found.as_ref().is_none_or(|found| found.0.is_final || monotonic_ms() >= deadline);
+            if !is_done {
+                let _ = timers::receive(&wakeup, crate::core::until(deadline));
             }
-            lock(&self.waiting).senders.remove(&number);
-            if over {
+            lock(&self.waiters).senders.remove(&number);
+            if is_done {
                 return found;
             }
         }
     }
 
-    /// Has those who wait look again.
+    /// Wakes all waiting callers, which look up their records again.
     pub fn wake(&self) {
-        let waiting = std::mem::take(&mut lock(&self.waiting).senders);
-        waiting.into_values().for_each(|waiter| _ = waiter.send(()));
+        let waiters = std::mem::take(&mut lock(&self.waiters).senders);
+        waiters.into_values().for_each(|waiter| _ = waiter.send(()));
     }
 
-    /// What is to be kept of a call, its key aside.
+    /// The record of a call to be stored, with an empty key.
     fn draft(&self, deferred: &Deferred, is_final: bool) -> Draft<'static> {
         let expires =
             UnixTime::of(monotonic_ms().max(deferred.repeats_until.at_start_clock()) + self.retention);
@@ -305,13 +315,13 @@
     }
 }
 
-/// What a key takes without its answer, in bytes.
-fn cost(key: &Key) -> usize {
-    KEY_COST + key.0.len() + key.1.len()
+/// Memory that a key takes without its answer, in bytes.
+fn key_size(key: &Key) -> usize {
+    KEY_OVERHEAD_BYTES + key.0.len() + key.1.len()
 }
 
-/// What an answer holds beside its place, in bytes.
-fn kept(answer: &Answer) -> usize {
+/// Memory that an answer holds on the heap, in bytes.
+fn answer_size(answer: &Answer) -> usize {
     match answer {
         Answer::Served { body } => body.capacity(),
         Answer::Refused { .. } | Answer::Failed(_) | Answer::Withdrawn => 0,
--- a/crates/node/src/memory/invocations/rerun.rs
+++ b/crates/node/src/memory/invocations/rerun.rs
@@ -1,37 +1,37 @@
-//! Deferred calls that were open when their process ended and whose class may be repeated: what is kept of them, so that
-//! the next process runs them again in what is left of their time.
+//! The stored data of open deferred calls whose class may be repeated: if the process ends, the next one runs them again
+//! within their remaining time.
 use super::Deferred;
 use crate::clock::{machine_clock_ahead_ms, monotonic_ms, UnixTime};
 use crate::core::base64_text;
 use corkbay::{Ms, RequestId};
 use serde::{Deserialize, Serialize};
 
-/// What it takes to run a call again.
+/// The data to run a call again after a restart.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Rerun {
-    /// What the worker is to work on.
+    /// The body of the request.
     #[serde(with = "base64_text")]
     pub body: Vec<u8>,
-    /// The client's whole time for it, in milliseconds.
+    /// Time from acceptance to the deadline, in milliseconds.
     allowed_ms: Ms,
-    /// When that is up.
+    /// The deadline as a date.
     deadline: UnixTime,
-    /// The same on the machine's monotonic clock, which no step of the wall clock moves.
+    /// The deadline on the machine's monotonic clock in milliseconds, which is unaffected by steps of the wall clock.
     deadline_machine_ms: Ms,
 }
 
-/// A call that is to be run again.
+/// A call to be run again.
 pub struct Resumable {
-    /// Its id.
+    /// Request id of the call.
     pub id: RequestId,
-    /// What was kept of it.
+    /// The stored state of the call.
     pub deferred: Deferred,
-    /// What it takes to run it again.
+    /// The data to run it again.
     pub rerun: Rerun,
 }
 
 impl Rerun {
-    /// For a call that was accepted now and is given up at a point on the monotonic clock.
+    /// For a call that is accepted now; `expires` is its deadline on the monotonic clock in milliseconds.
     pub fn new(body: Vec<u8>, expires: Ms) -> Self {
         Rerun {
             body,
@@ -41,18 +41,20 @@
         }
     }
 
-    /// When the call is given up, on the monotonic clock of this process.
+    /// The deadline of the call on the monotonic clock of this process, in milliseconds.
     pub fn expires(&self) -> Ms {
         let now = monotonic_ms();
-        now + self.left(now + machine_clock_ahead_ms(), self.deadline.at_present_clock() - now)
+        now + self.remaining_ms(now + machine_clock_ahead_ms(), self.deadline.at_present_clock() - now)
     }
 
-    /// What is left of its time, by the machine's clock, or as the wall clock has it where the machine was started anew.
-    fn left(&self, machine_now: Ms, left_by_date: Ms) -> Ms {
+    /// Time until the deadline in milliseconds, by the machine's monotonic clock, or by the wall clock if the machine was
+    /// rebooted.
+    fn remaining_ms(&self, machine_now: Ms, remaining_by_date_ms: Ms) -> Ms {
         let accepted_at = self.deadline_machine_ms - self.allowed_ms;
         let same_boot = machine_now >= accepted_at;
-        let left = if same_boot { self.deadline_machine_ms - machine_now } else { left_by_date };
-        left.clamp(0.0, self.allowed_ms.max(0.0))
+        let remaining_ms =
+            if same_boot { self.deadline_machine_ms - machine_now } else { remaining_by_date_ms };
+        remaining_ms.clamp(0.0, self.allowed_ms.max(0.0))
     }
 }
 
--- a/crates/node/src/memory/invocations/rerun/tests.rs
+++ b/crates/node/src/memory/invocations/rerun/tests.rs
@@ -6,19 +6,19 @@
 }
 
 #[test]
-fn what_is_left_is_told_by_the_machines_clock_while_it_runs_on() {
+fn remaining_time_follows_the_machine_clock_until_a_reboot() {
     let rerun = accepted_for(3000.0);
-    for left_by_date in [-3_600_000.0, 0.0, 3_600_000.0] {
-        assert_eq!(rerun.left(6000.0, left_by_date), 3000.0);
-        assert_eq!(rerun.left(8500.0, left_by_date), 500.0);
-        assert_eq!(rerun.left(20_000.0, left_by_date), 0.0);
+    for remaining_by_date_ms in [-3_600_000.0, 0.0, 3_600_000.0] {
+        assert_eq!(rerun.remaining_ms(6000.0, remaining_by_date_ms), 3000.0);
+        assert_eq!(rerun.remaining_ms(8500.0, remaining_by_date_ms), 500.0);
+        assert_eq!(rerun.remaining_ms(20_000.0, remaining_by_date_ms), 0.0);
     }
 }
 
 #[test]
-fn a_machine_that_was_started_anew_goes_by_the_date_and_gives_no_more_than_the_whole_time() {
+fn after_a_reboot_remaining_time_follows_the_date_up_to_the_allowed_time() {
     let rerun = accepted_for(3000.0);
-    assert_eq!(rerun.left(100.0, 1000.0), 1000.0);
-    assert_eq!(rerun.left(100.0, -5.0), 0.0);
-    assert_eq!(rerun.left(100.0, 3_600_000.0), 3000.0);
+    assert_eq!(rerun.remaining_ms(100.0, 1000.0), 1000.0);
+    assert_eq!(rerun.remaining_ms(100.0, -5.0), 0.0);
+    assert_eq!(rerun.remaining_ms(100.0, 3_600_000.0), 3000.0);
 }
--- a/crates/node/src/memory/invocations/tests.rs
+++ b/crates/node/src/memory/invocations/tests.rs
@@ -2,7 +2,7 @@
 use crate::memory::roomy;
 use corkbay_ledger::{Budget, Ledger, Shares, TenantShare, MIB};
 
-const LARGEST: usize = 64 << 10;
+const MAX_ANSWER_BYTES: usize = 64 << 10;
 
 fn deferred(key: &str) -> Deferred {
     Deferred {
@@ -16,14 +16,15 @@
     }
 }
 
-/// Guards the rule on repeats across a restart: what was open may have run, so it fails, and its key
-/// is not run again.
+/// Guards against a call that runs twice across a restart: an open call may have run, so it fails, and a repeat of its
+/// key is answered with that failure.
 #[test]
-fn what_was_open_at_a_restart_fails_and_its_key_stays_taken() {
+fn a_call_open_at_a_restart_fails_and_keeps_its_key() {
     let store = Arc::new(Store::in_memory("a", roomy()));
-    let before = Invocations::new(store.clone(), Duration::from_secs(60), LARGEST).expect("in memory");
+    let before =
+        Invocations::new(store.clone(), Duration::from_secs(60), MAX_ANSWER_BYTES).expect("in memory");
     before.accept(RequestId(7), deferred("k"), None).expect("in memory");
-    let after = Invocations::new(store, Duration::from_secs(60), LARGEST).expect("in memory");
+    let after = Invocations::new(store, Duration::from_secs(60), MAX_ANSWER_BYTES).expect("in memory");
     let failed = Answer::Failed(Failure { may_have_run: true, late: false });
     let (record, kept) = after.get(RequestId(7)).expect("kept");
     assert!(record.is_final);
@@ -32,12 +33,13 @@
     assert_eq!(repeat, Repeat::Done(RequestId(7), failed));
 }
 
-/// Guards a key across a restart: a call that was refused before does not stand for the one that was
-/// served after it.
+/// Guards against a wrong answer after a restart: a refused call must not be taken for the later served call with the
+/// same key.
 #[test]
 fn a_refused_call_does_not_hold_its_key_after_a_restart() {
     let store = Arc::new(Store::in_memory("a", roomy()));
-    let before = Invocations::new(store.clone(), Duration::from_secs(60), LARGEST).expect("in memory");
+    let before =
+        Invocations::new(store.clone(), Duration::from_secs(60), MAX_ANSWER_BYTES).expect("in memory");
     let key = ("f".to_string(), "k".to_string());
     let refused = Answer::Refused { retry_after: 0.0, known: Failure { may_have_run: false, late: false } };
     let served = Answer::Served { body: b"z".to_vec() };
@@ -45,7 +47,7 @@
         let promise = before.accept(RequestId(id), deferred("k"), None).expect("in memory");
         before.finish(RequestId(id), Some(&key), answer, Some(promise));
     }
-    let after = Invocations::new(store, Duration::from_secs(60), LARGEST).expect("in memory");
+    let after = Invocations::new(store, Duration::from_secs(60), MAX_ANSWER_BYTES).expect("in memory");
     let repeat = after.admit(&key, RequestId(11), b"x", monotonic_ms() + 1000.0, None);
     assert_eq!(repeat, Repeat::Done(RequestId(8), served));
 }
@@ -54,18 +56,20 @@
 #[test]
 fn a_replica_invents_no_answer() {
     let (one, two) = (Arc::new(Store::in_memory("one", roomy())), Arc::new(Store::in_memory("two", roomy())));
-    let accepting = Invocations::new(one.clone(), Duration::from_secs(60), LARGEST).expect("in memory");
+    let accepting =
+        Invocations::new(one.clone(), Duration::from_secs(60), MAX_ANSWER_BYTES).expect("in memory");
     accepting.accept(RequestId(7), deferred("k"), None).expect("in memory");
     two.merge(one.lacking(&two.digest(), usize::MAX)).expect("in memory");
-    let replica = Invocations::new(two.clone(), Duration::from_secs(60), LARGEST).expect("in memory");
+    let replica =
+        Invocations::new(two.clone(), Duration::from_secs(60), MAX_ANSWER_BYTES).expect("in memory");
     let (record, kept) = replica.get(RequestId(7)).expect("replicated");
     assert!(!record.is_final && kept.answer.is_none());
 }
 
 #[test]
-fn a_key_is_free_again_only_if_nothing_ran() {
+fn a_key_is_released_only_if_nothing_ran() {
     let store = Arc::new(Store::in_memory("a", roomy()));
-    let invocations = Invocations::new(store, Duration::from_secs(60), LARGEST).expect("in memory");
+    let invocations = Invocations::new(store, Duration::from_secs(60), MAX_ANSWER_BYTES).expect("in memory");
     let key = ("f".to_string(), "k".to_string());
     let admit =
         |id, body: &[u8]| invocations.admit(&key, RequestId(id), body, monotonic_ms() + 60_000.0, None);
@@ -85,21 +89,21 @@
     let share = |name: &str| TenantShare { name: name.into(), weight: 1.0 };
     let ledger = Arc::new(Ledger::new(&budget.expect("fits"), &[share("desk"), share("coop")]));
     let store = Arc::new(Store::in_memory("a", ledger.clone()));
-    (Invocations::new(store, Duration::from_secs(60), LARGEST).expect("in memory"), ledger)
+    (Invocations::new(store, Duration::from_secs(60), MAX_ANSWER_BYTES).expect("in memory"), ledger)
 }
 
-/// Guards the promise to keep a final answer: it is refused at the start where there is no room for the
-/// largest, so that none is lost at its end; and a flood by one tenant leaves another its part.
+/// Guards against final answers that are lost for lack of memory: a call is refused at the start if there is no room for
+/// the largest answer; and a flood of one tenant doesn't use up the share of another.
 #[test]
-fn what_is_accepted_has_room_for_its_end_and_a_flood_leaves_others_theirs() {
+fn accepted_calls_have_room_for_their_answers_and_a_flood_leaves_other_tenants_theirs() {
     let (invocations, ledger) = small();
     let accept = |id, tenant| invocations.accept(RequestId(id), deferred("k"), Some(tenant));
     let flood: Vec<_> = (0..1000).map_while(|id| accept(id, 0).ok().map(|promise| (id, promise))).collect();
     assert!((10..100).contains(&flood.len()), "{}", flood.len());
     let refused = accept(5000, 0);
     assert!(matches!(refused, Err(StoreError::Full { retry_after: Some(span), .. }) if span > 60_000.0));
-    let other: Vec<_> = (2000..2010).map(|id| (id, accept(id, 1).expect("its own part"))).collect();
-    let answer = Answer::Served { body: vec![7; LARGEST] };
+    let other: Vec<_> = (2000..2010).map(|id| (id, accept(id, 1).expect("its own share"))).collect();
+    let answer = Answer::Served { body: vec![7; MAX_ANSWER_BYTES] };
     for (id, promise) in flood.into_iter().chain(other) {
         invocations.finish(RequestId(id), None, &answer, Some(promise));
         assert_eq!(invocations.get(RequestId(id)).and_then(|found| found.1.answer), Some(answer.clone()));
@@ -111,16 +115,16 @@
     assert_eq!(ledger.held(), 0);
 }
 
-/// Guards memory against a flood of keys: each is held with the answer it may have to repeat, and those
-/// whose window is over make room.
+/// Guards against unbounded memory through idempotency keys: each reserves memory for its answer, and expired keys are
+/// dropped to make room.
 #[test]
-fn a_flood_of_keys_is_told_when_to_come_again() {
+fn a_flood_of_keys_is_rejected_with_a_retry_delay() {
     let (invocations, ledger) = small();
     let (key, soon) = (|at: u32| ("f".to_string(), at.to_string()), monotonic_ms() + 400.0);
     let admit = |at| invocations.admit(&key(at), RequestId(u64::from(at)), b"x", soon, None);
     let served = Answer::Served { body: vec![7; 10] };
     let mut fresh = 0;
-    let told = loop {
+    let rejected = loop {
         match admit(fresh) {
             Repeat::Fresh if fresh % 2 == 0 => {
                 invocations.finish(RequestId(0), Some(&key(fresh)), &served, None)
@@ -130,7 +134,7 @@
         }
         fresh += 1;
     };
-    assert!(matches!(told, Repeat::Crowded(Some(span)) if span > 0.0), "{told:?}");
+    assert!(matches!(rejected, Repeat::Crowded(Some(span)) if span > 0.0), "{rejected:?}");
     assert!(matches!(admit(0), Repeat::Done(..)) && matches!(admit(1), Repeat::Open(_)));
     let account = ledger.account(Purpose::Keys);
     let before = account.used();
@@ -138,6 +142,6 @@
     let refused = Answer::Refused { retry_after: 0.0, known: Failure { may_have_run: false, late: false } };
     invocations.finish(RequestId(1), Some(&key(1)), &refused, None);
     let other = invocations.admit(&key(2), RequestId(1), b"x", monotonic_ms() + 60_000.0, None);
-    assert_eq!(other, Repeat::Fresh, "a key is new once its window is over");
-    assert!(account.used() < before + LARGEST, "what is over has gone");
+    assert_eq!(other, Repeat::Fresh, "an expired key is new again");
+    assert!(account.used() < before + MAX_ANSWER_BYTES, "expired keys were dropped");
 }
--- a/crates/node/src/memory/keys.rs
+++ b/crates/node/src/memory/keys.rs
@@ -1,4 +1,4 @@
-//! The prefixes of record keys, and which records leave their node.
+//! The prefixes of record keys, and which records are replicated to other nodes.
 
 /// Functions.
 pub const FUNCTION: &str = "function/";
@@ -6,20 +6,20 @@
 pub const WORKER: &str = "worker/";
 /// Deferred calls.
 pub const INVOCATION: &str = "invocation/";
-/// What the deploy file of a node last said; followed by the node's name.
+/// Last seen entries of a node's deploy file; followed by the node's name.
 pub const SEED: &str = "seed/";
-/// Other records that only their own node needs.
+/// Other records that are not replicated.
 pub const LOCAL: &str = "local/";
 
-/// Prefixes of configuration, in the order of their keys.
+/// Prefixes of configuration records, in key order.
 pub const CONFIGURATION: [&str; 2] = [FUNCTION, WORKER];
 
-/// Whether a record under this key never leaves its node.
+/// Whether the record of this key is not replicated to other nodes.
 pub fn is_node_local(key: &str) -> bool {
     key.starts_with(SEED) || key.starts_with(LOCAL)
 }
 
-/// Whether this is the key of what another node's deploy file said.
+/// Whether this is the key of a seed record of another node.
 pub fn is_foreign_seed(key: &str, own_node: &str) -> bool {
     let Some(rest) = key.strip_prefix(SEED) else { return false };
     rest.split('/').next() != Some(own_node)
--- a/crates/node/src/memory/log.rs
+++ b/crates/node/src/memory/log.rs
@@ -1,29 +1,30 @@
-//! An append-only log of records: each with its length and a check, synced before a write returns.
+//! An append-only log of records, each with its length and a checksum. A write returns after the file is synced.
 //!
-//! A file is written by a thread of its own, as coroutines must not wait for a disk; writers wait for it
-//! on the coroutine library's channels. What is on its way there is accounted.
+//! The file is written by a dedicated thread, as coroutines must not block on disk I/O; callers wait on channels of the
+//! coroutine library. The memory of queued writes is charged to an account.
 use super::record::Record;
 use corkbay_ledger::{Account, Full, Reservation};
-use may::sync::mpsc as waits;
+use may::sync::mpsc as coroutine_mpsc;
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, BufReader, BufWriter, Read, Seek, SeekFrom, Write};
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::sync::{mpsc, Arc};
 
-const HEAD: usize = 8;
-/// A log is not compacted below this size.
-const SMALL: u64 = 64 << 10;
-/// Largest record that is read; none that is written comes near it.
-const MOST: usize = 1 << 20;
+/// Header of a record: its length and the CRC-32 of its text, both 4 bytes, big-endian.
+const HEADER_BYTES: usize = 8;
+/// Minimum size of a log to be compacted, in bytes.
+const MIN_COMPACTION_BYTES: u64 = 64 << 10;
+/// Maximum size of a record that is read, in bytes; far above any that is written.
+const MAX_RECORD_BYTES: usize = 1 << 20;
 
-/// Why the log could not keep something.
+/// Why the log could not write records.
 #[derive(Clone, Debug, thiserror::Error)]
 pub enum LogError {
-    /// The disk, or the thread that writes to it.
+    /// An I/O error, or the writer thread has ended.
     #[error("log: {0}")]
     Io(String),
-    /// More is on its way to the disk than may be.
+    /// The queued writes would exceed their memory account.
     #[error("log: {0}")]
     Full(#[from] Full),
 }
@@ -34,19 +35,21 @@
     }
 }
 
+/// A request to the writer thread.
 enum Job {
+    /// Appends bytes to the log and syncs it.
     Append(Vec<u8>),
-    /// Begins a new log beside the old one.
+    /// Creates a new log file beside the current one.
     Begin,
-    /// More of the new log.
+    /// Writes bytes to the new log file.
     Add(Vec<u8>),
-    /// Puts the new log in the old one's place.
+    /// Replaces the current log by the new one.
     Replace,
 }
 
-type Waiter = waits::Sender<Result<(), LogError>>;
+type Waiter = coroutine_mpsc::Sender<Result<(), LogError>>;
 
-/// A handle on the thread that owns the file.
+/// A handle to the writer thread, which owns the log file.
 pub struct Log {
     jobs: mpsc::Sender<(Job, Waiter)>,
     queued: Account,
@@ -54,42 +57,51 @@
 }
 
 impl Log {
-    /// Opens the log of a folder and hands over the records that it holds, oldest first. What stands behind
-    /// the last whole record is the torn end of a write that was never acknowledged, and is cut off. What
-    /// is on its way to the disk counts in `queued`.
+    /// Opens the log in a folder and passes the records that it contains to `each`, oldest first. Bytes after the last
+    /// complete record are the torn end of a write that was never acknowledged; they are truncated. Queued writes are
+    /// charged to `queued`.
     pub fn open(folder: &Path, queued: Account, mut each: impl FnMut(Record)) -> Result<Self, LogError> {
         fs::create_dir_all(folder)?;
         let path = folder.join("records.log");
         let mut file = OpenOptions::new().create(true).truncate(false).read(true).write(true).open(&path)?;
-        let whole = decode(BufReader::new(&file), &mut each)?;
+        let complete_bytes = decode(BufReader::new(&file), &mut each)?;
         let size = file.metadata()?.len();
-        if whole < size {
-            tracing::warn!(bytes = size - whole, "log: what stands behind the last whole record is cut off");
+        if complete_bytes < size {
+            tracing::warn!(
+                bytes = size - complete_bytes,
+                "log: what stands behind the last whole record is cut off"
+            );
         }
-        file.set_len(whole)?;
+        file.set_len(complete_bytes)?;
         file.seek(SeekFrom::End(0))?;
         file.sync_all()?;
         let (jobs, queue) = mpsc::channel();
-        let size = Arc::new(AtomicU64::new(whole));
-        let mut keeper =
-            Keeper { path, file, size: size.clone(), fresh: None, has_tail: false, name_may_be_lost: false };
-        std::thread::Builder::new().name("log".into()).spawn(move || keeper.run(&queue))?;
+        let size = Arc::new(AtomicU64::new(complete_bytes));
+        let mut writer = Writer {
+            path,
+            file,
+            size: size.clone(),
+            new_log: None,
+            has_partial_write: false,
+            rename_may_be_lost: false,
+        };
+        std::thread::Builder::new().name("log".into()).spawn(move || writer.run(&queue))?;
         Ok(Log { jobs, queued, size })
     }
 
-    /// Adds records and returns once they are on the disk.
+    /// Appends records and returns once they are synced to disk.
     pub fn append(&self, records: &[Record]) -> Result<(), LogError> {
         let (bytes, _held) = self.encode(records)?;
         self.wait(Job::Append(bytes))
     }
 
-    /// Whether the log has grown so large that it is worth writing anew for live records of so many bytes.
-    pub fn is_worth_replacing(&self, live: usize) -> bool {
+    /// Whether the log is large enough to be worth compacting, given the size of all live_bytes records in bytes.
+    pub fn is_worth_compacting(&self, live_bytes: usize) -> bool {
         let size = self.size.load(Relaxed);
-        size >= SMALL && size >= 2 * live as u64
+        size >= MIN_COMPACTION_BYTES && size >= 2 * live_bytes as u64
     }
 
-    /// Puts the records of these pages in place of all. Nobody may append meanwhile.
+    /// Replaces the contents of the log with the records of these pages. Nothing may be appended during this call.
     pub fn replace(&self, pages: impl Iterator<Item = Vec<Record>>) -> Result<(), LogError> {
         self.wait(Job::Begin)?;
         for page in pages {
@@ -99,56 +111,57 @@
         self.wait(Job::Replace)
     }
 
-    /// The bytes of records, held until they are written.
+    /// Encodes records; the bytes are charged to the account until the reservation is dropped.
     fn encode(&self, records: &[Record]) -> Result<(Vec<u8>, Reservation), LogError> {
         let size = records.iter().map(Record::size).sum();
         let held = self.queued.reserve(size)?;
         let mut bytes = Vec::with_capacity(size);
         for record in records {
-            let head = bytes.len();
-            bytes.extend([0; HEAD]);
+            let start = bytes.len();
+            bytes.extend([0; HEADER_BYTES]);
             serde_json::to_writer(&mut bytes, record).map_err(|error| LogError::Io(error.to_string()))?;
-            let text = &bytes[head + HEAD..];
+            let text = &bytes[start + HEADER_BYTES..];
             let (length, check) = ((text.len() as u32).to_be_bytes(), crc32fast::hash(text).to_be_bytes());
-            bytes[head..head + 4].copy_from_slice(&length);
-            bytes[head + 4..head + HEAD].copy_from_slice(&check);
+            bytes[start..start + 4].copy_from_slice(&length);
+            bytes[start + 4..start + HEADER_BYTES].copy_from_slice(&check);
         }
         Ok((bytes, held))
     }
 
     fn wait(&self, job: Job) -> Result<(), LogError> {
-        let (done, end) = waits::channel();
-        let gone = || LogError::Io("its thread has ended".into());
-        self.jobs.send((job, done)).map_err(|_| gone())?;
-        end.recv().map_err(|_| gone())?
+        let (done, result) = coroutine_mpsc::channel();
+        let writer_ended = || LogError::Io("the writer thread has ended".into());
+        self.jobs.send((job, done)).map_err(|_| writer_ended())?;
+        result.recv().map_err(|_| writer_ended())?
     }
 }
 
-/// Hands over the whole records at the front of a log; tells where they end. Memory follows one record.
+/// Passes the complete records at the start of a log to `each` and returns the offset at which they end. Holds one record
+/// in memory at a time.
 fn decode(mut log: impl Read, each: &mut impl FnMut(Record)) -> io::Result<u64> {
-    let (mut at, mut text) = (0, Vec::new());
+    let (mut offset, mut text) = (0, Vec::new());
     loop {
-        let mut head = [0; HEAD];
-        if read_whole(&mut log, &mut head)? < HEAD {
-            return Ok(at);
+        let mut header = [0; HEADER_BYTES];
+        if read_full(&mut log, &mut header)? < HEADER_BYTES {
+            return Ok(offset);
         }
-        let size = u32::from_be_bytes([head[0], head[1], head[2], head[3]]) as usize;
-        let check = u32::from_be_bytes([head[4], head[5], head[6], head[7]]);
-        if size > MOST {
-            return Ok(at);
+        let size = u32::from_be_bytes([header[0], header[1], header[2], header[3]]) as usize;
+        let check = u32::from_be_bytes([header[4], header[5], header[6], header[7]]);
+        if size > MAX_RECORD_BYTES {
+            return Ok(offset);
         }
         text.resize(size, 0);
-        if read_whole(&mut log, &mut text)? < size || crc32fast::hash(&text) != check {
-            return Ok(at);
+        if read_full(&mut log, &mut text)? < size || crc32fast::hash(&text) != check {
+            return Ok(offset);
         }
-        let Ok(record) = serde_json::from_slice(&text) else { return Ok(at) };
+        let Ok(record) = serde_json::from_slice(&text) else { return Ok(offset) };
         each(record);
-        at += (HEAD + size) as u64;
+        offset += (HEADER_BYTES + size) as u64;
     }
 }
 
-/// Fills the buffer as far as there is anything to read.
-fn read_whole(from: &mut impl Read, buffer: &mut [u8]) -> io::Result<usize> {
+/// Reads until the buffer is full or the input ends; returns the number of bytes read.
+fn read_full(from: &mut impl Read, buffer: &mut [u8]) -> io::Result<usize> {
     let mut filled = 0;
     while filled < buffer.len() {
         match from.read(&mut buffer[filled..]) {
@@ -161,37 +174,38 @@
     Ok(filled)
 }
 
-struct Keeper {
+/// The state of the writer thread.
+struct Writer {
     path: PathBuf,
     file: File,
     size: Arc<AtomicU64>,
-    /// The new log while one is written.
-    fresh: Option<BufWriter<File>>,
-    /// Behind what was acknowledged the file may hold the rest of a write that failed.
-    has_tail: bool,
-    /// A crash may still bring the old log back in this file's place.
-    name_may_be_lost: bool,
+    /// The new log file during compaction.
+    new_log: Option<BufWriter<File>>,
+    /// Whether the file may hold part of a failed write after the acknowledged records.
+    has_partial_write: bool,
+    /// Whether the rename of this file may not be durable yet: after a crash the name could refer to the old log again.
+    rename_may_be_lost: bool,
 }
 
-impl Keeper {
+impl Writer {
     fn run(&mut self, queue: &mpsc::Receiver<(Job, Waiter)>) {
         while let Ok((job, waiter)) = queue.recv() {
-            let end = match job {
+            let result = match job {
                 Job::Append(bytes) => self.append(&bytes),
                 Job::Begin => self.begin(),
                 Job::Add(bytes) => self.add(&bytes),
                 Job::Replace => self.replace(),
             };
-            let _ = waiter.send(end);
+            let _ = waiter.send(result);
         }
     }
 
     fn append(&mut self, bytes: &[u8]) -> Result<(), LogError> {
-        self.mend()?;
+        self.recover()?;
         let written = self.file.write_all(bytes).and_then(|()| self.file.sync_data());
         if let Err(error) = written {
-            self.has_tail = true;
-            if let Err(error) = self.mend() {
+            self.has_partial_write = true;
+            if let Err(error) = self.recover() {
                 tracing::error!(%error, "log: a failed write can't be cut off yet");
             }
             return Err(error.into());
@@ -200,43 +214,45 @@
         Ok(())
     }
 
-    /// Undoes what a failure left. Until that is done nothing may be acknowledged: it would stand behind the rest of a
-    /// failed write, or in a file that has no lasting name.
-    fn mend(&mut self) -> io::Result<()> {
-        if self.name_may_be_lost {
+    /// Recovers from an earlier failure. Until that succeeds no write may be acknowledged: it would follow the remains of
+    /// a failed write, or be in a file whose name is not durable.
+    fn recover(&mut self) -> io::Result<()> {
+        if self.rename_may_be_lost {
             sync_folder_of(&self.path)?;
-            self.name_may_be_lost = false;
+            self.rename_may_be_lost = false;
         }
-        if self.has_tail {
+        if self.has_partial_write {
             let size = self.size.load(Relaxed);
             self.file.set_len(size)?;
             self.file.seek(SeekFrom::Start(size))?;
-            self.has_tail = false;
+            self.has_partial_write = false;
         }
         Ok(())
     }
 
     fn begin(&mut self) -> Result<(), LogError> {
-        self.fresh = Some(BufWriter::new(File::create(self.path.with_extension("new"))?));
+        self.new_log = Some(BufWriter::new(File::create(self.path.with_extension("new"))?));
         Ok(())
     }
 
     fn add(&mut self, bytes: &[u8]) -> Result<(), LogError> {
-        let fresh = self.fresh.as_mut().ok_or_else(|| LogError::Io("no new log was begun".into()))?;
-        Ok(fresh.write_all(bytes)?)
+        let new_log =
+            self.new_log.as_mut().ok_or_else(|| LogError::Io("no compaction is in progress".into()))?;
+        Ok(new_log.write_all(bytes)?)
     }
 
-    /// The new log is whole on the disk before it takes the old one's name.
+    /// Syncs the new log to disk and then renames it over the current one.
     fn replace(&mut self) -> Result<(), LogError> {
-        let fresh = self.fresh.take().ok_or_else(|| LogError::Io("no new log was begun".into()))?;
-        let mut file = fresh.into_inner().map_err(|error| LogError::Io(error.to_string()))?;
+        let new_log =
+            self.new_log.take().ok_or_else(|| LogError::Io("no compaction is in progress".into()))?;
+        let mut file = new_log.into_inner().map_err(|error| LogError::Io(error.to_string()))?;
         file.sync_all()?;
         let size = file.stream_position()?;
         fs::rename(self.path.with_extension("new"), &self.path)?;
-        // From here on the old file has no name, whatever fails.
+        // The old file has no name any more, even if a later step fails.
         self.size.store(size, Relaxed);
-        (self.file, self.has_tail, self.name_may_be_lost) = (file, false, true);
-        Ok(self.mend()?)
+        (self.file, self.has_partial_write, self.rename_may_be_lost) = (file, false, true);
+        Ok(self.recover()?)
     }
 }
 
@@ -246,13 +262,13 @@
 
 #[cfg(test)]
 impl Log {
-    /// A log whose disk stands still until the returned closure is called.
-    pub(crate) fn held_up(queued: Account) -> (Self, impl FnOnce()) {
+    /// A log whose writes are not processed until the returned closure is called.
+    pub(crate) fn stalled(queued: Account) -> (Self, impl FnOnce()) {
         let (jobs, queue) = mpsc::channel::<(Job, Waiter)>();
-        let go_on = move || {
+        let resume_disk = move || {
             std::thread::spawn(move || queue.iter().for_each(|(_, waiter)| _ = waiter.send(Ok(()))));
         };
-        (Log { jobs, queued, size: Arc::default() }, go_on)
+        (Log { jobs, queued, size: Arc::default() }, resume_disk)
     }
 }
 
--- a/crates/node/src/memory/log/tests.rs
+++ b/crates/node/src/memory/log/tests.rs
@@ -25,20 +25,21 @@
     (log.expect("opens"), kept)
 }
 
-/// Guards against a crash in the middle of a write: wherever the file ends, the whole records
-/// before are there and the log goes on behind them.
+/// Guards against a crash during a write: wherever the file is truncated, the complete records before that point are
+/// read and new ones are appended after them.
 #[test]
-fn a_torn_tail_is_cut_off_wherever_it_is_torn() {
+fn a_torn_tail_is_truncated_wherever_it_is_torn() {
     let folder = folder("torn");
     let (log, _) = open(&folder);
     let encode = |records: &[Record]| log.encode(records).expect("room").0;
-    let (two, whole) = (encode(&[record("a", 1, 3)]), encode(&[record("a", 1, 3), record("b", 1, 3)]));
-    for end in 0..=whole.len() {
+    let (one_record, two_records) =
+        (encode(&[record("a", 1, 3)]), encode(&[record("a", 1, 3), record("b", 1, 3)]));
+    for end in 0..=two_records.len() {
         let _ = fs::remove_dir_all(&folder);
         fs::create_dir_all(&folder).expect("folder");
-        fs::write(folder.join("records.log"), &whole[..end]).expect("written");
+        fs::write(folder.join("records.log"), &two_records[..end]).expect("written");
         let (log, kept) = open(&folder);
-        let expected = usize::from(end >= two.len()) + usize::from(end == whole.len());
+        let expected = usize::from(end >= one_record.len()) + usize::from(end == two_records.len());
         assert_eq!(kept.len(), expected, "torn at {end}");
         log.append(&[record("c", 1, 3)]).expect("appends");
         let (_, kept) = open(&folder);
@@ -49,20 +50,20 @@
 }
 
 #[test]
-fn a_damaged_record_and_what_follows_is_not_taken_in() {
+fn a_damaged_record_and_all_after_it_are_ignored() {
     let folder = folder("damaged");
     let (log, _) = open(&folder);
     let mut bytes = log.encode(&[record("a", 1, 3), record("b", 1, 3)]).expect("room").0;
-    let (at, last) = (log.encode(&[record("a", 1, 3)]).expect("room").0.len(), bytes.len() - 2);
+    let (first_bytes, last) = (log.encode(&[record("a", 1, 3)]).expect("room").0.len(), bytes.len() - 2);
     bytes[last] ^= 1;
     let mut kept = Vec::new();
-    assert_eq!(decode(&bytes[..], &mut |record| kept.push(record)).expect("read"), at as u64);
+    assert_eq!(decode(&bytes[..], &mut |record| kept.push(record)).expect("read"), first_bytes as u64);
     assert_eq!(kept, [record("a", 1, 3)]);
     let _ = fs::remove_dir_all(&folder);
 }
 
 #[test]
-fn a_new_log_holds_what_it_is_given_and_goes_on_from_there() {
+fn a_compacted_log_holds_the_given_records_and_accepts_appends() {
     let folder = folder("replace");
     let (log, _) = open(&folder);
     for version in 1..=200 {
@@ -70,7 +71,7 @@
     }
     let size = || fs::metadata(folder.join("records.log")).expect("there").len();
     let before = size();
-    assert!(log.is_worth_replacing(2000) && !log.is_worth_replacing(before as usize));
+    assert!(log.is_worth_compacting(2000) && !log.is_worth_compacting(before as usize));
     log.replace([vec![record("a", 200, 1000)], vec![record("b", 1, 3)]].into_iter()).expect("replaces");
     log.append(&[record("c", 1, 3)]).expect("appends");
     assert!(size() < before / 50, "{before} to {}", size());
@@ -79,10 +80,10 @@
     let _ = fs::remove_dir_all(&folder);
 }
 
-/// Guards memory while the disk stands still: what does not fit on the way there is refused before it
-/// is encoded, and nothing stays held.
+/// Guards against unbounded memory while the disk stalls: writes that exceed the account are rejected before they are
+/// encoded, and no reservation is leaked.
 #[test]
-fn more_than_may_be_on_its_way_is_refused() {
+fn writes_above_the_queue_account_are_rejected() {
     let folder = folder("full");
     let queued = Account::root("log", 2000);
     let log = Log::open(&folder, queued.clone(), |_| {}).expect("opens");
--- a/crates/node/src/memory/record.rs
+++ b/crates/node/src/memory/record.rs
@@ -1,7 +1,7 @@
-//! Versioned records: what the store holds, the log keeps and nodes swap.
+//! Versioned records: the unit of the store, of the log and of replication between nodes.
 //!
-//! A value is held as the JSON text that it is written as, shared by all who hold the record: a tree of
-//! values takes several times the memory of its text, and the store needs the text for every comparison.
+//! A value is kept as its serialized JSON text, shared between all copies of the record: a parsed JSON tree takes
+//! several times the memory of its text, and the store needs the text for each comparison.
 use super::keys::INVOCATION;
 use crate::clock::UnixTime;
 use corkbay_ledger::Purpose;
@@ -11,22 +11,22 @@
 use std::cmp::Ordering;
 use std::sync::Arc;
 
-/// A value as JSON text, the same for equal values.
+/// A value as JSON text. Equal values made by [`Text::of`] have equal texts.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Text(Arc<str>);
 
 impl Text {
-    /// The text of a value, its fields in the order of their names.
+    /// Serializes a value, with the fields of objects in alphabetical order.
     pub fn of(value: &impl Serialize) -> serde_json::Result<Self> {
         Ok(Text(serde_json::to_value(value)?.to_string().into()))
     }
 
-    /// The value.
+    /// Deserializes the value.
     pub fn read<T: DeserializeOwned>(&self) -> serde_json::Result<T> {
         serde_json::from_str(&self.0)
     }
 
-    /// The text itself.
+    /// The JSON text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -46,46 +46,46 @@
     }
 }
 
-/// One version of what stands under a key.
+/// One version of the value of a key.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// Where it stands.
+    /// Its key.
     pub key: Arc<str>,
-    /// No later version may follow.
+    /// Whether this is the final version; a final record is never replaced by one that is not final.
     #[serde(rename = "final", default)]
     pub is_final: bool,
-    /// Counts the versions of the key.
+    /// Version number, increased by each write of the key.
     pub version: u64,
     /// The node that wrote it.
     pub node: Arc<str>,
-    /// It may be forgotten after this time, or never.
+    /// When the record expires and may be dropped; [`UnixTime::NONE`] for never.
     #[serde(default)]
     pub expires: UnixTime,
-    /// What stands there; nothing for what was taken away.
+    /// The value; `None` for a tombstone of a deleted record.
     pub value: Option<Text>,
 }
 
-/// What tells a record from other versions without its value.
+/// Identifies a version of a record without its value.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stamp {
-    /// Whether it is final.
+    /// Whether the version is final.
     #[serde(rename = "final")]
     pub is_final: bool,
-    /// Its version.
+    /// Version number.
     pub version: u64,
-    /// Its writer.
+    /// The node that wrote the version.
     pub node: Arc<str>,
-    /// A check over its value.
+    /// CRC-32 of its value and expiry time.
     pub check: u32,
 }
 
-/// What a record costs beside its texts: itself, its place in the map with the room that such maps leave
-/// free, and the heads of its allocations.
-const COST: usize = 2 * std::mem::size_of::<Record>() + 3 * 32;
+/// Memory overhead of a record beside its texts, in bytes: the struct, its map entry including unused map capacity,
+/// and the allocator headers of its allocations.
+const OVERHEAD_BYTES: usize = 2 * std::mem::size_of::<Record>() + 3 * 32;
 
 impl Record {
-    /// The total order of the versions of one key: a final one is greater than any that is not, then the
-    /// version counts, then the node, then the value.
+    /// The total order of the versions of one key: final versions are greater than all others; then compares the
+    /// version number, the node name, the value and the expiry time.
     pub fn order(&self, other: &Record) -> Ordering {
         let by_value =
             || self.text().cmp(other.text()).then(self.expires.as_ms().total_cmp(&other.expires.as_ms()));
@@ -109,12 +109,12 @@
         Stamp { is_final: self.is_final, version: self.version, node: self.node.clone(), check }
     }
 
-    /// The text of its value.
+    /// The JSON text of its value; empty for a tombstone.
     pub fn text(&self) -> &str {
         self.value.as_ref().map(Text::as_str).unwrap_or_default()
     }
 
-    /// What it is kept for.
+    /// The memory purpose that the record is charged to.
     pub fn purpose(&self) -> Purpose {
         match (self.key.starts_with(INVOCATION), self.is_final) {
             (true, true) => Purpose::DeferredFinal,
@@ -123,17 +123,18 @@
         }
     }
 
-    /// What it takes in memory, in bytes.
+    /// Memory that the record takes, in bytes.
     pub fn size(&self) -> usize {
         Record::size_of(self.key.len(), self.text().len()) + self.node.len()
     }
 
-    /// What a record with a key and a value of these lengths takes, the name of its node aside.
+    /// Memory that a record with a key and a value text of these lengths in bytes takes, without the name of its node, in
+    /// bytes.
     pub fn size_of(key: usize, text: usize) -> usize {
-        COST + key + text
+        OVERHEAD_BYTES + key + text
     }
 
-    /// Whether it may be forgotten by then.
+    /// Whether the record has expired at `now`.
     pub fn expired(&self, now: UnixTime) -> bool {
         !self.expires.is_none() && self.expires <= now
     }
--- a/crates/node/src/memory/seeds.rs
+++ b/crates/node/src/memory/seeds.rs
@@ -1,12 +1,12 @@
-//! Entries of the deploy file on their way into the catalog, and the record of what the file last said.
+//! Copies entries of the deploy file into the catalog, and remembers the last seen entries of the file.
 //!
-//! An entry is written when the file says something else than it last did: the file's changes take effect, and what
-//! was changed by API since stays changed. What the file last said is kept as a digest for each entry, in pages: one
-//! node-local record holds the digests of all entries whose keys share a bucket. Entries and the page that tells of
-//! them are written in one batch, the page last, so that a start that is cut short is taken up where it ended.
+//! An entry is written only if it differs from the last seen version of the file: changes of the file take effect, and
+//! later changes by API are kept. The last seen entries are stored as digests in pages: one node-local record contains
+//! the digests of all entries whose keys fall into the same bucket. Entries are written in one batch with their page,
+//! which comes last, so that an interrupted start continues where it stopped.
 //!
-//! Earlier versions kept one record for each entry, with the whole value. Such records still count, and give way to
-//! the pages.
+//! Earlier versions stored one record for each entry, with the complete value. Such records are still read, and are
+//! replaced by the pages.
 use super::catalog::{Catalog, CatalogError, Function, Worker};
 use super::keys::{FUNCTION, SEED, WORKER};
 use super::record::{Record, Text};
@@ -15,15 +15,15 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Pages of digests.
+/// Number of pages of digests.
 const PAGES: usize = 256;
-/// Entries of one page that are written in one batch: each may take a write of its own and one that takes an
-/// earlier version's record away, and the page takes one.
-const MOST_ENTRIES: usize = (MAX_BATCH - 1) / 2;
-/// Bytes of keys and values from which on a batch is written.
-const BATCH_BYTES: usize = 64 << 10;
-/// What a digest takes in its page beside the key: two pairs of quotes, 16 digits, a colon and a comma.
-const DIGEST_COST: usize = 22;
+/// Maximum number of entries of one page in one batch: each may need a write of its own and a write that deletes the
+/// record of an earlier version, and the page needs one.
+const MAX_ENTRIES_PER_BATCH: usize = (MAX_BATCH - 1) / 2;
+/// Maximum size of the keys and values in a batch that combines several pages, in bytes.
+const MAX_BATCH_BYTES: usize = 64 << 10;
+/// Size of a digest in its page without the key, in bytes: two pairs of quotes, 16 digits, a colon and a comma.
+const DIGEST_OVERHEAD_BYTES: usize = 22;
 
 /// An entry of the deploy file.
 pub struct SeedEntry {
@@ -32,12 +32,12 @@
 }
 
 impl SeedEntry {
-    /// A function.
+    /// An entry for a function.
     pub fn function(name: &str, function: &Function) -> Result<Self, CatalogError> {
         SeedEntry::new(format!("{FUNCTION}{name}"), function)
     }
 
-    /// A worker.
+    /// An entry for a worker.
     pub fn worker(name: &str, worker: &Worker) -> Result<Self, CatalogError> {
         SeedEntry::new(format!("{WORKER}{name}"), worker)
     }
@@ -56,14 +56,14 @@
     }
 }
 
-/// What an entry of the deploy file takes in the store of a node, in bytes, its digest included.
+/// Memory that an entry of the deploy file takes in the store of a node, including its digest, in bytes.
 pub fn configured_size(node: &str, prefix: &str, name: &str, value: &impl Serialize) -> usize {
     let key = prefix.len() + name.len();
     let text = serde_json::to_string(value).map_or(0, |text| text.len());
-    Record::size_of(key, text) + node.len() + key + DIGEST_COST
+    Record::size_of(key, text) + node.len() + key + DIGEST_OVERHEAD_BYTES
 }
 
-/// What the pages of digests for so many entries take in the store of a node beside the digests, in bytes.
+/// Memory that the pages for this number of entries take in the store of a node, without the digests, in bytes.
 pub fn pages_size(node: &str, entries: usize) -> usize {
     let page = Record::size_of(page_key(node, 0).len(), "{}".len()) + node.len();
     page * entries.min(PAGES)
@@ -73,23 +73,23 @@
     format!("{SEED}{node}/page/{number:02x}")
 }
 
-/// The digests of one page, by key.
+/// The digests of one page, by key of the entry.
 type Digests = BTreeMap<String, String>;
 
-/// A write that waits for its batch.
+/// A write that is collected into a batch.
 struct PlannedWrite {
     key: String,
     value: Option<Text>,
 }
 
 impl PlannedWrite {
-    /// A change of what stands there is taken whatever is full.
+    /// The draft of the write. Updates of existing records are accepted even if the account is full.
     fn draft(&self) -> Draft<'_> {
-        Draft { owed: true, ..Draft::new(&self.key, self.value.clone()) }
+        Draft { may_exceed_cap: true, ..Draft::new(&self.key, self.value.clone()) }
     }
 }
 
-/// Writes that go into the store together.
+/// Writes that are committed to the store together.
 #[derive(Default)]
 struct Batch {
     writes: Vec<PlannedWrite>,
@@ -105,7 +105,7 @@
 
     fn has_room_for(&self, more: &Batch) -> bool {
         let fits = self.writes.len() + more.writes.len() <= MAX_BATCH;
-        fits && self.bytes() + more.bytes() <= BATCH_BYTES
+        fits && self.bytes() + more.bytes() <= MAX_BATCH_BYTES
     }
 
     fn write(self, store: &Store) -> Result<(), StoreError> {
@@ -116,7 +116,7 @@
 }
 
 impl Catalog {
-    /// Writes the entries of the deploy file that the file changed since it was last read here.
+    /// Writes the entries of the deploy file that changed since the file was last read on this node.
     pub fn seed(&self, entries: Vec<SeedEntry>) -> Result<(), CatalogError> {
         let mut pages: Vec<Vec<SeedEntry>> = Vec::new();
         pages.resize_with(PAGES, Vec::new);
@@ -126,7 +126,7 @@
         let mut batch = Batch::default();
         for (number, page) in pages.iter().enumerate() {
             let mut digests = self.digests(number)?;
-            for (part, entries) in page.chunks(MOST_ENTRIES).enumerate() {
+            for (part, entries) in page.chunks(MAX_ENTRIES_PER_BATCH).enumerate() {
                 let more = self.plan(number, entries, &mut digests)?;
                 // The next part writes the same page again, which takes another batch.
                 let is_same_page = part > 0;
@@ -139,7 +139,7 @@
         Ok(batch.write(self.store())?)
     }
 
-    /// The writes that some entries of a page call for; their digests become what they will be then.
+    /// The writes that are needed for some entries of a page. Updates `digests` accordingly.
     fn plan(
         &self,
         number: usize,
@@ -150,11 +150,11 @@
         let mut is_page_changed = false;
         for entry in entries {
             let digest = entry.digest();
-            let whole_value_key = self.whole_value_key(&entry.key);
-            let whole_value = self.store().get(&whole_value_key).and_then(|record| record.value);
-            let is_known = digests.get(&entry.key) == Some(&digest);
-            if !is_known {
-                if whole_value.as_ref() != Some(&entry.value) {
+            let legacy_key = self.legacy_key(&entry.key);
+            let legacy_value = self.store().get(&legacy_key).and_then(|record| record.value);
+            let is_unchanged = digests.get(&entry.key) == Some(&digest);
+            if !is_unchanged {
+                if legacy_value.as_ref() != Some(&entry.value) {
                     batch
                         .writes
                         .push(PlannedWrite { key: entry.key.clone(), value: Some(entry.value.clone()) });
@@ -162,8 +162,8 @@
                 digests.insert(entry.key.clone(), digest);
                 is_page_changed = true;
             }
-            if whole_value.is_some() {
-                batch.writes.push(PlannedWrite { key: whole_value_key, value: None });
+            if legacy_value.is_some() {
+                batch.writes.push(PlannedWrite { key: legacy_key, value: None });
             }
         }
         if is_page_changed {
@@ -183,8 +183,8 @@
         page_key(self.node(), number)
     }
 
-    /// Where earlier versions kept what the file last said of one entry.
-    fn whole_value_key(&self, key: &str) -> String {
+    /// Key under which earlier versions stored the last seen value of an entry.
+    fn legacy_key(&self, key: &str) -> String {
         format!("{SEED}{}/{key}", self.node())
     }
 }
--- a/crates/node/src/memory/seeds/tests.rs
+++ b/crates/node/src/memory/seeds/tests.rs
@@ -2,8 +2,8 @@
 use crate::memory::roomy;
 use std::sync::Arc;
 
-/// Enough for more entries in each page than one batch takes.
-const MANY: usize = 2 * PAGES * MOST_ENTRIES;
+/// Enough entries that each page needs more than one batch.
+const ENTRY_COUNT: usize = 2 * PAGES * MAX_ENTRIES_PER_BATCH;
 
 fn function(lanes: u32) -> Function {
     Function { class: "check".into(), tenant: String::new(), memory_mb: 0.0, lanes, cost_ms: None }
@@ -23,24 +23,25 @@
 fn entries_are_written_when_the_file_changes_them_and_only_then() {
     let store = Arc::new(Store::in_memory("one", roomy()));
     let catalog = Catalog::new(store.clone(), Vec::new());
-    catalog.seed(entries(MANY, 1)).expect("room");
-    assert_eq!(store.under(FUNCTION).len(), MANY);
-    catalog.seed(entries(MANY, 1)).expect("room");
-    assert_eq!(versions(&store), MANY as u64, "nothing is written twice");
+    catalog.seed(entries(ENTRY_COUNT, 1)).expect("room");
+    assert_eq!(store.under(FUNCTION).len(), ENTRY_COUNT);
+    catalog.seed(entries(ENTRY_COUNT, 1)).expect("room");
+    assert_eq!(versions(&store), ENTRY_COUNT as u64, "nothing is written twice");
     catalog.put_function("0", &function(7)).expect("room");
-    catalog.seed(entries(MANY, 1)).expect("room");
-    assert_eq!(catalog.function("0"), Some(function(7)), "a change by API stands");
-    catalog.seed(entries(MANY, 2)).expect("room");
+    catalog.seed(entries(ENTRY_COUNT, 1)).expect("room");
+    assert_eq!(catalog.function("0"), Some(function(7)), "a change by API is kept");
+    catalog.seed(entries(ENTRY_COUNT, 2)).expect("room");
     assert_eq!(catalog.function("0"), Some(function(2)), "until the file changes the entry");
-    assert_eq!(versions(&store), MANY as u64 + 2);
+    assert_eq!(versions(&store), ENTRY_COUNT as u64 + 2);
 }
 
-/// Guards the budget that is planned for a deploy file: what its entries take may not be more.
+/// Guards against a memory budget that is too small for the deploy file: the planned size covers the actual one.
 #[test]
-fn the_size_that_is_planned_is_what_entries_take() {
+fn the_planned_size_covers_the_actual_size() {
     let store = Arc::new(Store::in_memory("one", roomy()));
-    Catalog::new(store.clone(), Vec::new()).seed(entries(MANY, 1)).expect("room");
-    let planned = (0..MANY).map(|number| configured_size("one", FUNCTION, &number.to_string(), &function(1)));
-    let (planned, held) = (planned.sum::<usize>() + pages_size("one", MANY), store.ledger().held());
+    Catalog::new(store.clone(), Vec::new()).seed(entries(ENTRY_COUNT, 1)).expect("room");
+    let planned =
+        (0..ENTRY_COUNT).map(|number| configured_size("one", FUNCTION, &number.to_string(), &function(1)));
+    let (planned, held) = (planned.sum::<usize>() + pages_size("one", ENTRY_COUNT), store.ledger().held());
     assert!(held <= planned && planned <= held + held / 50, "{planned} planned, {held} held");
 }
--- a/crates/node/src/memory/store/batch.rs
+++ b/crates/node/src/memory/store/batch.rs
@@ -1,4 +1,4 @@
-//! Writes of this node, one at a time or in batches.
+//! Local writes, one record at a time or in atomic batches.
 use super::draft::{Draft, Writers};
 use super::error::StoreError;
 use super::expiry::ExpiryState;
@@ -8,36 +8,36 @@
 use corkbay_ledger::Reservation;
 use std::collections::BTreeSet;
 
-/// Most writes in one batch.
+/// Maximum number of writes in one batch.
 pub const MAX_BATCH: usize = 256;
 
-/// A version that is to be written, and the one that it follows.
+/// The next version of a record, with the size of the version it replaces.
 struct NextVersion {
     record: Record,
-    /// What the older version takes; `None` for a new key.
+    /// Size of the current version in bytes; `None` for a new key.
     old_size: Option<usize>,
 }
 
-/// A version with the room that was found for it.
+/// A version that is ready to be written, with the memory reserved for it.
 struct Prepared {
     record: Record,
-    /// `None` where the draft brings its own room.
+    /// `None` if the draft carries its own reservation.
     held: Option<Reservation>,
 }
 
 impl Store {
-    /// Writes the next version under a key and returns once it lasts.
+    /// Writes the next version of a key and returns once it is durable.
     pub fn put(&self, draft: &mut Draft) -> Result<Record, StoreError> {
         let mut written = self.put_many(std::slice::from_mut(draft))?;
         Ok(written.swap_remove(0))
     }
 
-    /// Writes the next versions under up to [`MAX_BATCH`] different keys and returns once they last: one append to
-    /// the log, one sync.
+    /// Writes the next versions of up to [`MAX_BATCH`] distinct keys and returns once they are durable, with one
+    /// append to the log and one sync.
     ///
-    /// All of them or none: where one is refused or the append fails, nothing is written and nothing shows. They
-    /// show together, in the order of the drafts. Only a crash during the append may leave a part, of which nobody
-    /// was told: the first records of the batch, each of them whole.
+    /// All or nothing: if one draft is rejected or the append fails, nothing is written and nothing becomes visible.
+    /// The records are applied in the order of the drafts. Only a crash during the append can leave a part of the
+    /// batch on disk: a prefix of complete records, for which the write was never acknowledged.
     pub fn put_many(&self, drafts: &mut [Draft]) -> Result<Vec<Record>, StoreError> {
         check_batch(drafts)?;
         let mut expiry = lock(&self.writing);
@@ -48,18 +48,18 @@
         let records: Vec<Record> = prepared.iter().map(|prepared| prepared.record.clone()).collect();
         self.append(&records)?;
         for (draft, Prepared { record, held }) in drafts.iter_mut().zip(prepared) {
-            let owed = || self.ledger.owe(record.purpose(), record.size());
-            let held = draft.held.take().or(held).unwrap_or_else(owed);
+            let over_cap = || self.ledger.owe(record.purpose(), record.size());
+            let held = draft.held.take().or(held).unwrap_or_else(over_cap);
             self.apply(&mut expiry, record, held);
         }
         let listeners = lock(&self.listeners);
         for record in &records {
-            listeners.tell_write(record);
+            listeners.notify_write(record);
         }
         Ok(records)
     }
 
-    /// Checks a draft and finds room for it.
+    /// Validates a draft and reserves memory for it.
     fn prepare(&self, expiry: &mut ExpiryState, draft: &mut Draft) -> Result<Prepared, StoreError> {
         let NextVersion { record, old_size } = self.next_version(expiry, draft)?;
         let (purpose, size) = (record.purpose(), record.size());
@@ -67,9 +67,9 @@
             self.reserve_or_expire(expiry, purpose, || held.resize(size))?;
             return Ok(Prepared { record, held: None });
         }
-        // A change that wants no more than what stands there is taken whatever is full.
-        let is_owed = old_size.is_some_and(|old_size| draft.owed || size <= old_size);
-        let held = if is_owed {
+        // A version that is no larger than the current one is accepted even if the account is full.
+        let may_exceed_cap = old_size.is_some_and(|old_size| draft.may_exceed_cap || size <= old_size);
+        let held = if may_exceed_cap {
             self.ledger.owe(purpose, size)
         } else {
             self.reserve_or_expire(expiry, purpose, || self.ledger.reserve(purpose, None, size))?
--- a/crates/node/src/memory/store/configuration.rs
+++ b/crates/node/src/memory/store/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration records, page by page.
+//! Paged reads of the configuration records (functions and workers).
 use super::Store;
 use crate::core::{lock, UnixTime};
 use crate::memory::keys::CONFIGURATION;
@@ -7,8 +7,8 @@
 use std::sync::Arc;
 
 impl Store {
-    /// Up to `most` configuration records behind a key, tombstones included, in the order of their keys; from the
-    /// first on without a key.
+    /// Up to `most` configuration records after `key` in key order, tombstones included. Starts at the first record
+    /// if `key` is `None`.
     pub fn configuration_after(&self, key: Option<&str>, most: usize) -> Vec<Record> {
         let now = UnixTime::steady();
         let records = lock(&self.records);
@@ -24,14 +24,14 @@
         page
     }
 
-    /// All configuration records in pages of up to `page_size`, tombstones included. No lock is held between two
-    /// pages: a record that is written meanwhile may or may not be among them.
+    /// All configuration records in pages of up to `page_size` records, tombstones included. No lock is held between
+    /// pages: a record that is written during the iteration may or may not be returned.
     pub fn configuration(&self, page_size: usize) -> ConfigurationPages<'_> {
         ConfigurationPages { store: self, page_size, last_key: None }
     }
 }
 
-/// Iterates over the configuration records of a store.
+/// Iterator over the configuration records of a store, page by page.
 pub struct ConfigurationPages<'a> {
     store: &'a Store,
     page_size: usize,
--- a/crates/node/src/memory/store/draft.rs
+++ b/crates/node/src/memory/store/draft.rs
@@ -1,37 +1,37 @@
-//! Versions that are to be written.
+//! Record versions to be written.
 use crate::clock::UnixTime;
 use crate::memory::record::Text;
 use corkbay_ledger::Reservation;
 
-/// Who may write under a key.
+/// Which nodes may write a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Writers {
-    /// Any node; the last write stands.
+    /// Any node; the last write wins.
     Any,
-    /// The node that wrote the first version.
+    /// Only the node that wrote the first version.
     First,
 }
 
-/// A version that is to be written.
+/// A record version to be written.
 pub struct Draft<'a> {
-    /// Where it is to stand.
+    /// Key of the record.
     pub key: &'a str,
-    /// What is to stand there; nothing to take away what does.
+    /// New value; `None` deletes the record.
     pub value: Option<Text>,
-    /// No later version may follow.
+    /// Whether this is the final version; later writes are rejected.
     pub is_final: bool,
-    /// It may be forgotten after this time, or never.
+    /// When the record expires and may be dropped; [`UnixTime::NONE`] for never.
     pub expires: UnixTime,
-    /// Who may write there.
+    /// Which nodes may write the key.
     pub writers: Writers,
-    /// What was reserved for it before.
+    /// Memory reserved for it in advance.
     pub held: Option<Reservation>,
-    /// It is kept whatever is full: a worker that is drained, say.
-    pub owed: bool,
+    /// Whether it is written even if its account is full, for example to drain a worker.
+    pub may_exceed_cap: bool,
 }
 
 impl<'a> Draft<'a> {
-    /// Anybody's next version, for as long as nobody writes another.
+    /// A draft that any node may write, that is not final and never expires.
     pub fn new(key: &'a str, value: Option<Text>) -> Self {
         Draft {
             key,
@@ -40,7 +40,7 @@
             expires: UnixTime::NONE,
             writers: Writers::Any,
             held: None,
-            owed: false,
+            may_exceed_cap: false,
         }
     }
 }
--- a/crates/node/src/memory/store/error.rs
+++ b/crates/node/src/memory/store/error.rs
@@ -5,46 +5,47 @@
 use corkbay_ledger::{Full, Purpose};
 use std::sync::Arc;
 
-/// Why a write did not happen.
+/// Why a write failed.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// What stands there is final.
+    /// The current version is final.
     #[error("the record is final")]
     Final,
-    /// Another node alone may write there.
+    /// Only the named node may write this record.
     #[error("only node {0} writes this record")]
     Foreign(Arc<str>),
-    /// The value is larger than is kept.
+    /// The value exceeds the size limit, [`MAX_VALUE`](super::MAX_VALUE).
     #[error("the value is larger than is kept")]
     Large,
-    /// A batch holds more writes than one batch may.
+    /// The batch holds too many writes.
     #[error("a batch of {writes} writes; {most} at most")]
     LargeBatch {
-        /// Writes in the batch.
+        /// Number of writes in the batch.
         writes: usize,
-        /// Most writes in a batch.
+        /// Maximum number of writes in a batch.
         most: usize,
     },
-    /// Two writes of one batch have the same key.
+    /// Two writes of a batch have the same key.
     #[error("a batch writes {0} twice")]
     RepeatedKey(Arc<str>),
-    /// The key of a node-local note is not a node-local one.
+    /// The key given for a node-local record does not have a node-local prefix.
     #[error("{0} is not the key of a node-local record")]
     NotLocal(Arc<str>),
-    /// There is no room for it; what is there can still end.
+    /// The memory account is full. Updates that need no more memory are still accepted.
     #[error("there is no room: {full}")]
     Full {
-        /// What was full.
+        /// Which account was full.
         full: Full,
-        /// When to come again, in milliseconds; `None` where that is of no use.
+        /// Suggested delay before a retry, in milliseconds; `None` if a retry won't help.
         retry_after: Option<Ms>,
     },
-    /// It could not be made to last.
+    /// The record could not be written to the log.
     #[error(transparent)]
     Log(#[from] LogError),
 }
 
-/// The error for a full account, with the advice that its purpose calls for.
+/// The error for a full account, with the retry delay that the account's purpose calls for. `frees_in` is the time
+/// until memory is released, in milliseconds, if known.
 pub fn refuse(purpose: Purpose, full: Full, frees_in: Option<Ms>) -> StoreError {
     let (asked, cap) = (full.asked, full.cap);
     let retry_after = match decide(&Case { purpose, asked, cap, idle: 0, frees_in, waited: 0.0 }) {
--- a/crates/node/src/memory/store/expiry.rs
+++ b/crates/node/src/memory/store/expiry.rs
@@ -1,6 +1,6 @@
-//! Expired records, tombstones, and the log's compaction.
+//! Removal of expired records and tombstones, and log compaction.
 use super::error::{refuse, StoreError};
-use super::{Store, PAGE};
+use super::{Store, COMPACTION_PAGE_RECORDS};
 use crate::core::{lock, monotonic_ms};
 use crate::memory::keys::is_node_local;
 use crate::memory::record::Record;
@@ -9,23 +9,24 @@
 use std::ops::Bound;
 use std::sync::Arc;
 
-/// Least time between two looks for expired records that make room, in milliseconds.
-const LOOK_INTERVAL_MS: Ms = 1000.0;
+/// Minimum interval between two scans for expired records when an account is full, in milliseconds.
+const EXPIRY_SCAN_INTERVAL_MS: Ms = 1000.0;
 
-/// What is known about records that may be forgotten.
+/// When records expire, and the highest version among dropped tombstones.
 #[derive(Default)]
 pub(super) struct ExpiryState {
-    /// When the next record may be forgotten, as far as known.
+    /// When the next record expires, on the monotonic clock in milliseconds; `None` if no record is known to expire.
     next_expiry: Option<Ms>,
-    /// When expired records were last looked for because something was full.
-    last_look: Ms,
-    /// No tombstone of a later version was dropped: new keys begin behind it, so that a record that the
-    /// log still holds from before is no match for them.
+    /// When a full account last caused a scan for expired records, on the monotonic clock in milliseconds.
+    last_scan: Ms,
+    /// Highest version of all dropped tombstones. New keys start at the version after it, so that an older record
+    /// that is still in the log does not override them.
     pub(super) dropped_version: u64,
 }
 
 impl ExpiryState {
-    /// Notes until when a record is kept, on the monotonic clock; infinity for ever.
+    /// Registers the expiry time of a record, on the monotonic clock in milliseconds; infinity for a record that never
+    /// expires.
     pub(super) fn note_expiry(&mut self, at: Ms) {
         if at.is_finite() {
             self.next_expiry = Some(self.next_expiry.map_or(at, |next| next.min(at)));
@@ -38,7 +39,7 @@
 }
 
 impl Store {
-    /// Reserves for what is to be kept for a tenant.
+    /// Reserves memory for data that is kept on behalf of a tenant.
     pub fn reserve(
         &self,
         purpose: Purpose,
@@ -49,7 +50,7 @@
         self.reserve_or_expire(&mut expiry, purpose, || self.ledger.reserve(purpose, tenant, bytes))
     }
 
-    /// Reserves; where there is no room, expired records make some.
+    /// Reserves memory; if the account is full, drops expired records first.
     pub(super) fn reserve_or_expire<T>(
         &self,
         expiry: &mut ExpiryState,
@@ -61,9 +62,9 @@
             Ok(held) => return Ok(held),
             Err(full) => full,
         };
-        if expiry.has_expired_records(now) && now - expiry.last_look >= LOOK_INTERVAL_MS {
-            expiry.last_look = now;
-            self.forget_expired(expiry, now);
+        if expiry.has_expired_records(now) && now - expiry.last_scan >= EXPIRY_SCAN_INTERVAL_MS {
+            expiry.last_scan = now;
+            self.drop_expired(expiry, now);
             if let Ok(held) = reserve() {
                 return Ok(held);
             }
@@ -72,14 +73,14 @@
         Err(refuse(purpose, full, frees_in))
     }
 
-    /// Forgets what has expired and has the log hold no more than what stands.
+    /// Drops expired records and unneeded tombstones, and compacts the log if that is worthwhile.
     pub fn sweep(&self) -> Result<(), StoreError> {
         let mut expiry = lock(&self.writing);
-        self.forget_expired(&mut expiry, monotonic_ms());
-        self.forget_tombstones(&mut expiry);
+        self.drop_expired(&mut expiry, monotonic_ms());
+        self.drop_tombstones(&mut expiry);
         let Some(log) = &self.log else { return Ok(()) };
         let live_bytes = lock(&self.records).values().map(|entry| entry.record.size()).sum();
-        if !log.is_worth_replacing(live_bytes) {
+        if !log.is_worth_compacting(live_bytes) {
             return Ok(());
         }
         let mut last_key: Option<Arc<str>> = None;
@@ -91,37 +92,37 @@
         Ok(log.replace(pages)?)
     }
 
-    /// The next records of all keys behind one.
+    /// The next page of records after a key, over all keys.
     fn page_after(&self, key: Option<&str>) -> Vec<Record> {
         let from = key.map_or(Bound::Unbounded, Bound::Excluded);
         let records = lock(&self.records);
-        let page = records.range::<str, _>((from, Bound::Unbounded)).take(PAGE);
+        let page = records.range::<str, _>((from, Bound::Unbounded)).take(COMPACTION_PAGE_RECORDS);
         page.map(|(_, entry)| entry.record.clone()).collect()
     }
 
     /// Drops expired records.
-    fn forget_expired(&self, expiry: &mut ExpiryState, now: Ms) {
+    fn drop_expired(&self, expiry: &mut ExpiryState, now: Ms) {
         expiry.next_expiry = None;
         lock(&self.records).retain(|_, entry| {
-            let stays = entry.is_kept(now);
-            if stays {
+            let keep = entry.is_kept(now);
+            if keep {
                 expiry.note_expiry(entry.keep_until);
             }
-            stays
+            keep
         });
     }
 
-    /// Drops tombstones where no other node could bring back what they stand for. A node is alone as long as nobody
-    /// listens to its records, which is known only once it serves: not while it starts.
-    fn forget_tombstones(&self, expiry: &mut ExpiryState) {
-        let is_alone = !lock(&self.listeners).any();
+    /// Drops tombstones of records that no other node could reintroduce: node-local ones, and all of them if the node
+    /// has no listeners. Listeners are registered only once the node serves, so this must not run during startup.
+    fn drop_tombstones(&self, expiry: &mut ExpiryState) {
+        let has_no_listeners = !lock(&self.listeners).any();
         lock(&self.records).retain(|key, entry| {
             let record = &entry.record;
-            let is_needless = record.value.is_none() && (is_alone || is_node_local(key));
-            if is_needless {
+            let is_unneeded = record.value.is_none() && (has_no_listeners || is_node_local(key));
+            if is_unneeded {
                 expiry.dropped_version = expiry.dropped_version.max(record.version);
             }
-            !is_needless
+            !is_unneeded
         });
     }
 }
--- a/crates/node/src/memory/store/listeners.rs
+++ b/crates/node/src/memory/store/listeners.rs
@@ -1,56 +1,57 @@
-//! Who is told of records.
+//! Listeners that are notified of writes and changes.
 use super::Store;
 use crate::core::lock;
 use crate::memory::keys::is_node_local;
 use crate::memory::record::Record;
 use may::sync::mpsc;
 
-/// The senders that are told of records.
+/// Channels that receive records.
 #[derive(Default)]
 pub(super) struct Listeners {
-    /// Told of each write of this node.
+    /// Receive each write of this node.
     writes: Vec<mpsc::Sender<Record>>,
-    /// Told of each record that newly stands, whoever wrote it.
+    /// Receive each record that takes effect, whichever node wrote it.
     changes: Vec<mpsc::Sender<Record>>,
 }
 
 impl Listeners {
-    /// Whether there is any.
+    /// Whether any listener is registered.
     pub(super) fn any(&self) -> bool {
         !self.writes.is_empty() || !self.changes.is_empty()
     }
 
-    pub(super) fn tell_write(&self, record: &Record) {
+    pub(super) fn notify_write(&self, record: &Record) {
         if !is_node_local(&record.key) {
-            tell(&self.writes, record);
+            notify(&self.writes, record);
         }
     }
 
-    pub(super) fn tell_change(&self, record: &Record) {
-        tell(&self.changes, record);
+    pub(super) fn notify_change(&self, record: &Record) {
+        notify(&self.changes, record);
     }
 }
 
-fn tell(listeners: &[mpsc::Sender<Record>], record: &Record) {
+fn notify(listeners: &[mpsc::Sender<Record>], record: &Record) {
     for listener in listeners {
-        // A listener that has gone misses nothing.
+        // The receiver may have been dropped; that is not an error.
         let _ = listener.send(record.clone());
     }
 }
 
 impl Store {
-    /// Has these told of each write of this node, node-local records left out.
+    /// Sets the listeners that receive each write of this node, except node-local records.
     pub fn on_write(&self, listeners: Vec<mpsc::Sender<Record>>) {
         lock(&self.listeners).writes = listeners;
     }
 
-    /// Has a listener told of every record that newly stands from now on: own writes and merged records,
-    /// node-local ones too, in the order in which they took effect.
+    /// Adds a listener that receives every record that takes effect from now on: local writes and merged records,
+    /// including node-local ones, in the order in which they took effect.
     ///
-    /// Records are sent while writers are held off, so the order is exact. Whoever registers first and reads
-    /// the store afterwards misses no record, and may meet one both ways. Tombstones are kept from now on.
+    /// Records are sent while the write lock is held, so the order is exact. A caller that registers first and reads
+    /// the store afterwards misses no record, but may see a record twice. From now on, tombstones of records that are
+    /// shared with other nodes are kept.
     pub fn on_change(&self, listener: mpsc::Sender<Record>) {
-        let _no_writer = lock(&self.writing);
+        let _write_lock = lock(&self.writing);
         lock(&self.listeners).changes.push(listener);
     }
 }
--- a/crates/node/src/memory/store/merge.rs
+++ b/crates/node/src/memory/store/merge.rs
@@ -1,4 +1,4 @@
-//! Records of other nodes: taking them in, and telling what another node lacks.
+//! Replication: merging records of other nodes, and finding the records that another node lacks.
 use super::error::{refuse, StoreError};
 use super::expiry::ExpiryState;
 use super::{Store, MAX_VALUE};
@@ -11,37 +11,37 @@
 use std::sync::Arc;
 
 impl Store {
-    /// Takes in what another node sent; returns what was news, once it lasts. What there is no room for is
-    /// left out, and comes again. Node-local records are never taken in.
+    /// Merges records that another node sent; returns the number of records that were new, once they are durable.
+    /// Records that don't fit in memory are skipped; the other node sends them again. Node-local records are never
+    /// accepted.
     pub fn merge(&self, incoming: Vec<Record>) -> Result<usize, StoreError> {
         let mut expiry = lock(&self.writing);
         let now = UnixTime::steady();
-        let mut news: Vec<(Record, Reservation)> = Vec::new();
+        let mut new_records: Vec<(Record, Reservation)> = Vec::new();
         let mut left_out = 0;
         for record in incoming {
-            if record.text().len() > MAX_VALUE || !self.is_news(&record, now) {
+            if record.text().len() > MAX_VALUE || !self.supersedes_local(&record, now) {
                 continue;
             }
             match self.reserve_merged(&record) {
-                Ok(held) => news.push((record, held)),
+                Ok(held) => new_records.push((record, held)),
                 Err(_) => left_out += 1,
             }
         }
         if left_out > 0 {
             tracing::warn!(left_out, "replication: there is no room for records of a peer");
         }
-        let records: Vec<Record> = news.iter().map(|(record, _)| record.clone()).collect();
+        let records: Vec<Record> = new_records.iter().map(|(record, _)| record.clone()).collect();
         self.append_in_pages(&records)?;
-        Ok(self.apply_all(&mut expiry, news))
+        Ok(self.apply_all(&mut expiry, new_records))
     }
 
-    /// Takes in what another node sent, and after it a note of this node under a node-local key. Returns what was
-    /// news, once all of it lasts.
+    /// Merges records that another node sent and then writes a node-local record (the note), such as the position up
+    /// to which changes were received. Returns the number of merged records that were new, once all is durable.
     ///
-    /// All of it is one append where the log's account has room for it, and the note is always the last record of the
-    /// last one: wherever a crash tears the log, a note that is found there stands behind all records that it tells
-    /// of. Nothing is left out: where one record has no room or is too large, nothing is taken in and the older note
-    /// stays.
+    /// Everything goes into one append if the log's account has room for it. The note is always the last record of the
+    /// last append: wherever a crash truncates the log, a note found there follows all records that it covers. No
+    /// record is skipped: if one is too large or doesn't fit in memory, nothing is merged and the old note stays.
     pub fn merge_with_note(
         &self,
         incoming: Vec<Record>,
@@ -53,23 +53,23 @@
         }
         let mut expiry = lock(&self.writing);
         let now = UnixTime::steady();
-        let mut news = Vec::new();
+        let mut new_records = Vec::new();
         for record in incoming {
             if record.text().len() > MAX_VALUE {
                 return Err(StoreError::Large);
             }
-            if self.is_news(&record, now) {
+            if self.supersedes_local(&record, now) {
                 let held = self.reserve_merged(&record);
                 let held = held.map_err(|full| refuse(record.purpose(), full, None))?;
-                news.push((record, held));
+                new_records.push((record, held));
             }
         }
         let note = self.next_note(&expiry, note_key, note);
         let note_held = self.ledger.owe(note.purpose(), note.size());
         let records: Vec<Record> =
-            news.iter().map(|(record, _)| record.clone()).chain([note.clone()]).collect();
+            new_records.iter().map(|(record, _)| record.clone()).chain([note.clone()]).collect();
         self.append_in_pages(&records)?;
-        let count = self.apply_all(&mut expiry, news);
+        let count = self.apply_all(&mut expiry, new_records);
         self.apply(&mut expiry, note, note_held);
         Ok(count)
     }
@@ -87,8 +87,8 @@
         }
     }
 
-    /// Whether a record of another node would stand here.
-    fn is_news(&self, record: &Record, now: UnixTime) -> bool {
+    /// Whether a record of another node would replace the local version.
+    fn supersedes_local(&self, record: &Record, now: UnixTime) -> bool {
         if is_node_local(&record.key) || record.expired(now) {
             return false;
         }
@@ -97,7 +97,8 @@
         old.is_none_or(|old| record.order(&old.record) == Ordering::Greater)
     }
 
-    /// Reserves for a record of another node. What is known already may change, above all where a worker drains.
+    /// Reserves memory for a record of another node. Updates of known keys are accepted even if the account is full, so
+    /// that a worker can always be drained.
     fn reserve_merged(&self, record: &Record) -> Result<Reservation, Full> {
         let is_known = lock(&self.records).contains_key(&record.key);
         if is_known {
@@ -114,7 +115,7 @@
         count
     }
 
-    /// The stamps of all records but node-local ones.
+    /// The stamps of all records that are shared with other nodes, by key.
     pub fn digest(&self) -> BTreeMap<Arc<str>, Stamp> {
         let now = UnixTime::steady();
         let records = lock(&self.records);
@@ -122,23 +123,23 @@
         shared.map(|record| (record.key.clone(), record.stamp())).collect()
     }
 
-    /// The records that a node with that digest lacks or has in another version, up to so many bytes of
-    /// them: the rest comes with its next digest.
+    /// The records that a node with this digest lacks or has in another version, up to `most` bytes of them. The rest
+    /// is returned for the node's next digest.
     pub fn lacking(&self, digest: &BTreeMap<Arc<str>, Stamp>, most: usize) -> Vec<Record> {
         let now = UnixTime::steady();
         let records = lock(&self.records);
         let shared = records.values().map(|entry| &entry.record).filter(|record| is_shared(record, now));
         let differing = shared.filter(|record| digest.get(&record.key) != Some(&record.stamp()));
-        let mut left = most;
+        let mut remaining_bytes = most;
         let fits = |record: &&Record| {
-            left = left.saturating_sub(record.size());
-            left > 0
+            remaining_bytes = remaining_bytes.saturating_sub(record.size());
+            remaining_bytes > 0
         };
         differing.take_while(fits).cloned().collect()
     }
 }
 
-/// Whether other nodes are told of a record.
+/// Whether a record is sent to other nodes.
 fn is_shared(record: &Record, now: UnixTime) -> bool {
     !is_node_local(&record.key) && !record.expired(now)
 }
--- a/crates/node/src/memory/store/mod.rs
+++ b/crates/node/src/memory/store/mod.rs
@@ -1,16 +1,16 @@
-//! The replicated store: versioned records under keys, merged by taking the greater of two.
+//! The replicated store: versioned records by key; two versions are merged by taking the greater one.
 //!
-//! The greater of two under a total order is the same in whatever order and however often records arrive, so
-//! replicas that have seen the same records agree. Each record is accounted for what it is kept for, before
-//! it is kept.
+//! The maximum under a total order does not depend on the order in which records arrive or on duplicates, so replicas
+//! that have received the same records agree. The memory of each record is reserved, under the purpose it is kept for,
+//! before the record is stored.
 //!
-//! | module | job |
+//! | module | contents |
 //! | --- | --- |
-//! | `batch` | writes of this node |
-//! | `merge` | records of other nodes, digests |
-//! | `configuration` | functions and workers, page by page |
-//! | `listeners` | who is told of records |
-//! | `expiry` | expired records, tombstones, compaction of the log |
+//! | `batch` | local writes |
+//! | `merge` | replication: records of other nodes, digests |
+//! | `configuration` | paged reads of functions and workers |
+//! | `listeners` | notification of writes and changes |
+//! | `expiry` | expired records, tombstones, log compaction |
 mod batch;
 mod configuration;
 mod draft;
@@ -42,15 +42,15 @@
 use std::path::Path;
 use std::sync::Arc;
 
-/// Largest value, as text.
+/// Maximum length of a value as JSON text, in bytes.
 pub const MAX_VALUE: usize = 256 << 10;
-/// Records that are written to a new log at a time.
-const PAGE: usize = 64;
+/// Number of records that are written at a time when the log is compacted.
+const COMPACTION_PAGE_RECORDS: usize = 64;
 
-/// A record with what is reserved for it.
+/// A record with the memory reserved for it.
 struct Entry {
     record: Record,
-    /// Until when it is kept here, on the monotonic clock; infinity for ever.
+    /// When the record expires, on the monotonic clock in milliseconds; infinity if never.
     keep_until: Ms,
     _held: Reservation,
 }
@@ -61,18 +61,18 @@
     }
 }
 
-/// For how long records that expire are kept that a process before this one wrote, in milliseconds. The wall clock may
-/// have been stepped since then, so their dates are believed within these limits.
+/// Limits on how long expiring records from the log are kept after a restart, in milliseconds. The wall clock may have
+/// been stepped since they were written, so their expiry dates are trusted only within these limits.
 #[derive(Clone, Copy, Debug)]
 pub struct KeptAfterRestart {
-    /// From the start on, at least so long.
+    /// Minimum time after the restart.
     pub least: Ms,
-    /// At most so long.
+    /// Maximum time after the restart.
     pub most: Ms,
 }
 
 impl KeptAfterRestart {
-    /// Their dates are believed as they stand.
+    /// No limits: expiry dates are taken as written.
     pub const AS_DATED: KeptAfterRestart = KeptAfterRestart { least: 0.0, most: Ms::INFINITY };
 
     fn keep_until(self, expires: UnixTime, now: Ms) -> Ms {
@@ -85,15 +85,15 @@
     node: Arc<str>,
     ledger: Arc<Ledger>,
     records: Mutex<BTreeMap<Arc<str>, Entry>>,
-    /// Held from the decision to write until the write lasts and shows: nobody sees what a crash could
-    /// take back, and no new log misses a write.
+    /// Write lock, held from the decision to write until the write is durable and visible: readers never see a record
+    /// that a crash could undo, and log compaction misses no write.
     writing: Mutex<ExpiryState>,
     listeners: Mutex<Listeners>,
     log: Option<Log>,
 }
 
 impl Store {
-    /// A store in memory only.
+    /// A store without a log, in memory only.
     pub fn in_memory(node: &str, ledger: Arc<Ledger>) -> Self {
         Store {
             node: node.into(),
@@ -105,8 +105,8 @@
         }
     }
 
-    /// A store that lasts in the log of a folder. What the log holds is owed already, whatever fits. What other
-    /// nodes' deploy files said is left out: earlier versions handed such records on.
+    /// A durable store with its log in `folder`. Records from the log are kept even if they exceed their account's cap,
+    /// as they were accepted before. Seed records of other nodes are skipped: earlier versions replicated them.
     pub fn open(
         node: &str,
         folder: &Path,
@@ -136,19 +136,19 @@
         &self.node
     }
 
-    /// The accounts that records count in.
+    /// The memory accounts that records are charged to.
     pub fn ledger(&self) -> &Arc<Ledger> {
         &self.ledger
     }
 
-    /// What stands under a key.
+    /// The record of a key, unless it has expired. May be a tombstone.
     pub fn get(&self, key: &str) -> Option<Record> {
         let now = monotonic_ms();
         let records = lock(&self.records);
         records.get(key).filter(|entry| entry.is_kept(now)).map(|entry| entry.record.clone())
     }
 
-    /// The records whose keys begin so, tombstones left out. They share what they hold with the store.
+    /// The live records whose keys start with a prefix, without tombstones. They share their contents with the store.
     pub fn under(&self, prefix: &str) -> Vec<Record> {
         let now = monotonic_ms();
         let records = lock(&self.records);
@@ -158,24 +158,24 @@
         live.filter(|record| record.value.is_some()).cloned().collect()
     }
 
-    /// What is held under a key, expired or not.
+    /// The stored record of a key, expired or not.
     fn stored(&self, key: &str) -> Option<Record> {
         lock(&self.records).get(key).map(|entry| entry.record.clone())
     }
 
-    /// Makes records last, in as few appends as the log's account has room for.
+    /// Appends records to the log durably, in as few appends as the log's account has room for.
     fn append_in_pages(&self, records: &[Record]) -> Result<(), StoreError> {
         let most_bytes = self.ledger.account(Purpose::Log).cap() / 2;
         let mut rest = records;
         while !rest.is_empty() {
-            let (page, behind) = rest.split_at(page_length(rest, most_bytes));
+            let (page, remaining) = rest.split_at(page_length(rest, most_bytes));
             self.append(page)?;
-            rest = behind;
+            rest = remaining;
         }
         Ok(())
     }
 
-    /// Makes records last in one append.
+    /// Appends records to the log durably in one append.
     fn append(&self, records: &[Record]) -> Result<(), StoreError> {
         let Some(log) = &self.log else { return Ok(()) };
         if records.is_empty() {
@@ -184,7 +184,8 @@
         Ok(log.append(records)?)
     }
 
-    /// Has a record stand if it is greater than what does, and tells of it. Only whoever holds `writing` calls this.
+    /// Stores a record if it is greater than the current version, and notifies listeners. The caller must hold
+    /// `writing`.
     fn apply(&self, expiry: &mut ExpiryState, record: Record, held: Reservation) {
         let expires = record.expires;
         let keep_until = if expires.is_none() { Ms::INFINITY } else { expires.at_start_clock() };
@@ -193,7 +194,7 @@
 
     fn apply_until(&self, expiry: &mut ExpiryState, mut record: Record, held: Reservation, keep_until: Ms) {
         if record.node == self.node {
-            // Records from the log bring a copy of the name each.
+            // Each record from the log has its own copy of the node name; share one.
             record.node = self.node.clone();
         }
         {
@@ -208,11 +209,11 @@
             records.insert(record.key.clone(), entry);
             expiry.note_expiry(keep_until);
         }
-        lock(&self.listeners).tell_change(&record);
+        lock(&self.listeners).notify_change(&record);
     }
 }
 
-/// How many of these records make up a page of so many bytes: one at least, [`MAX_BATCH`] at most.
+/// Number of records at the front that fit in `most_bytes`: at least one, at most [`MAX_BATCH`].
 fn page_length(records: &[Record], most_bytes: usize) -> usize {
     let mut bytes = 0;
     let fitting = records.iter().take(MAX_BATCH).take_while(|record| {
--- a/crates/node/src/memory/store/tests.rs
+++ b/crates/node/src/memory/store/tests.rs
@@ -32,7 +32,7 @@
 }
 
 proptest! {
-    /// Guards against replicas that differ for having heard the same in another order or twice.
+    /// Guards against replicas that diverge because records arrived in another order or more than once.
     #[test]
     fn merge_is_commutative_associative_and_idempotent(a in record(), b in record(), c in record()) {
         let merge = |x: &Record, y: &Record| x.clone().merge(y.clone());
@@ -41,24 +41,24 @@
         prop_assert_eq!(merge(&a, &a), a.clone());
     }
 
-    /// Guards the one final answer: whatever arrives later, a final record gives way to no other
-    /// that is not.
+    /// Guards against losing a final answer: a final record is never replaced by one that is not final, whichever
+    /// arrives later.
     #[test]
     fn final_is_final(records in proptest::collection::vec(record(), 1..8)) {
-        let whole = records.iter().cloned().reduce(Record::merge).expect("some");
-        prop_assert_eq!(whole.is_final, records.iter().any(|record| record.is_final));
+        let merged = records.iter().cloned().reduce(Record::merge).expect("some");
+        prop_assert_eq!(merged.is_final, records.iter().any(|record| record.is_final));
     }
 
     #[test]
-    fn nodes_that_swap_what_each_lacks_agree(left in proptest::collection::vec(record(), 0..6),
+    fn nodes_that_exchange_lacking_records_converge(left in proptest::collection::vec(record(), 0..6),
                                              right in proptest::collection::vec(record(), 0..6)) {
         let (one, two) = (Store::in_memory("one", roomy()), Store::in_memory("two", roomy()));
-        let lasting = |mut records: Vec<Record>| {
+        let without_expiry = |mut records: Vec<Record>| {
             records.iter_mut().for_each(|record| record.expires = UnixTime::NONE);
             records
         };
-        one.merge(lasting(left)).expect("in memory");
-        two.merge(lasting(right)).expect("in memory");
+        one.merge(without_expiry(left)).expect("in memory");
+        two.merge(without_expiry(right)).expect("in memory");
         two.merge(one.lacking(&two.digest(), ALL)).expect("in memory");
         one.merge(two.lacking(&one.digest(), ALL)).expect("in memory");
         prop_assert_eq!(one.digest(), two.digest());
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_record_with_one_writer_is_closed_to_others_and_once_final_to_all() {
+fn a_single_writer_record_rejects_other_nodes_and_any_write_once_final() {
     let (one, two) = (Store::in_memory("one", roomy()), Store::in_memory("two", roomy()));
     one.put(&mut call("call/1", 1, false)).expect("first");
     two.merge(one.lacking(&two.digest(), ALL)).expect("in memory");
@@ -83,23 +83,25 @@
     (Store::in_memory("one", ledger.clone()), ledger)
 }
 
-/// Guards memory against ever new names, and the rule on drains against a store that is full: nothing
-/// new is taken, with advice, but a worker can still be drained and taken away.
+/// Guards against unbounded memory growth through new names, and against a full store that blocks a drain: new records
+/// are rejected with a retry delay, but a worker can still be drained and removed.
 #[test]
-fn a_full_catalog_takes_nothing_new_and_still_drains() {
+fn a_full_catalog_rejects_new_records_but_still_drains_workers() {
     let (store, ledger) = small();
     store.put(&mut Draft::new("worker/w", text("up"))).expect("room");
     let filler = "x".repeat(10 * KIB);
     let mut names = 0;
-    let end = loop {
+    let rejection = loop {
         match store.put(&mut Draft::new(&format!("function/{names}"), text(&filler))) {
             Ok(_) => names += 1,
             Err(error) => break error,
         }
     };
-    assert!(names > 100 && matches!(end, StoreError::Full { retry_after: Some(span), .. } if span > 1000.0));
+    assert!(
+        names > 100 && matches!(rejection, StoreError::Full { retry_after: Some(span), .. } if span > 1000.0)
+    );
     store
-        .put(&mut Draft { owed: true, ..Draft::new("worker/w", text("draining".repeat(2000))) })
+        .put(&mut Draft { may_exceed_cap: true, ..Draft::new("worker/w", text("draining".repeat(2000))) })
         .expect("drained");
     assert_eq!(store.get("worker/w").map(|record| record.version), Some(2));
     store.put(&mut Draft::new("worker/w", None)).expect("taken away");
@@ -111,10 +113,10 @@
     assert_eq!(ledger.held(), 0);
 }
 
-/// Guards against tombstones that pile up for ever, and a name that comes back against what the log still
-/// holds of it.
+/// Guards against tombstones that are never dropped, and against an old record in the log that overrides a key that is
+/// created again.
 #[test]
-fn tombstones_of_a_node_alone_go_and_leave_their_versions() {
+fn tombstones_without_listeners_are_dropped_and_new_keys_continue_their_versions() {
     let (store, ledger) = small();
     for name in 0..100 {
         store.put(&mut Draft::new(&format!("function/{name}"), text(name))).expect("room");
@@ -126,7 +128,7 @@
 }
 
 #[test]
-fn what_has_expired_is_neither_told_nor_taken_back() {
+fn expired_records_are_neither_sent_nor_merged() {
     let (one, two) = (Store::in_memory("one", roomy()), Store::in_memory("two", roomy()));
     let mut draft = Draft { expires: UnixTime::of(monotonic_ms() - 1.0), ..Draft::new("a", text(1)) };
     let old = one.put(&mut draft).expect("in memory");
@@ -134,9 +136,9 @@
     assert_eq!(two.merge(vec![old]).expect("in memory"), 0);
 }
 
-/// Guards replicas against messages without a bound: what does not go into one comes with the next.
+/// Guards against unbounded replication messages: records that don't fit into one are sent with the next.
 #[test]
-fn nodes_agree_by_pieces() {
+fn nodes_converge_through_bounded_messages() {
     let (one, two) = (Store::in_memory("one", roomy()), Store::in_memory("two", roomy()));
     for name in 0..100 {
         one.put(&mut Draft::new(&format!("function/{name}"), text("x".repeat(100)))).expect("room");
@@ -147,12 +149,12 @@
     assert_eq!(one.digest(), two.digest());
 }
 
-/// Guards memory while the log's disk stands still: what waits for it is counted, nothing shows before it
-/// lasts, other purposes have their room, and in the end all is there and nothing is held on its way.
+/// Guards against unaccounted memory while the log's disk stalls: queued writes are charged and are not visible before
+/// they are durable, other purposes keep their share, and afterwards all records are there and the charges released.
 #[test]
-fn writes_that_wait_for_the_disk_are_counted_and_show_once_they_last() {
+fn writes_that_wait_for_the_disk_are_accounted_and_visible_once_durable() {
     let ledger = roomy();
-    let (log, go_on) = Log::held_up(ledger.account(Purpose::Log).clone());
+    let (log, resume_disk) = Log::stalled(ledger.account(Purpose::Log).clone());
     let store = Arc::new(Store { log: Some(log), ..Store::in_memory("one", ledger.clone()) });
     let write = |key: &'static str| {
         let store = store.clone();
@@ -161,12 +163,12 @@
     let writes: Vec<_> = ["function/a", "function/b"].into_iter().map(write).collect();
     let began = std::time::Instant::now();
     while ledger.account(Purpose::Log).used() == 0 {
-        assert!(began.elapsed().as_secs() < 20, "nothing is on its way");
+        assert!(began.elapsed().as_secs() < 20, "nothing is queued for the log");
         std::thread::sleep(std::time::Duration::from_millis(1));
     }
     assert!(ledger.account(Purpose::Catalog).used() > 1000 && store.get("function/a").is_none());
     assert!(ledger.reserve(Purpose::Calls, None, KIB).is_ok());
-    go_on();
+    resume_disk();
     assert!(writes.into_iter().all(|write| write.join().expect("no panic")));
     assert_eq!(store.under("function/").len(), 2);
     assert_eq!(ledger.account(Purpose::Log).used(), 0);
@@ -174,10 +176,10 @@
     assert_eq!(ledger.held(), 0);
 }
 
-/// Guards deletions while a node starts: it has no listeners yet, and a full account must not cost it what it knows
-/// of deleted records.
+/// Guards against deleted records that come back: while a node starts it has no listeners yet, and a full account must
+/// not make it drop its tombstones.
 #[test]
-fn room_is_made_of_expired_records_and_not_of_tombstones() {
+fn a_full_account_drops_expired_records_but_not_tombstones() {
     let (store, _) = small();
     store.put(&mut Draft::new("function/a", text(1))).expect("room");
     store.put(&mut Draft::new("function/a", None)).expect("taken away");
@@ -188,10 +190,10 @@
     store.put(&mut { expired }).expect("room");
     let fill =
         |name: u32| store.put(&mut Draft::new(&format!("function/{name}"), text("x".repeat(10 * KIB))));
-    assert!((0..1000).any(|name| fill(name).is_err()), "it gets full");
+    assert!((0..1000).any(|name| fill(name).is_err()), "the account fills up");
     assert!(!lock(&store.records).contains_key("function/expired"));
     assert!(lock(&store.records).contains_key("function/a"));
     store.on_change(may::sync::mpsc::channel().0);
     store.sweep().expect("in memory");
-    assert!(lock(&store.records).contains_key("function/a"), "somebody follows");
+    assert!(lock(&store.records).contains_key("function/a"), "a listener is registered");
 }
--- a/crates/node/src/memory/store/tests/batches.rs
+++ b/crates/node/src/memory/store/tests/batches.rs
@@ -21,10 +21,10 @@
     assert!(matches!(store.put_many(&mut drafts(&keys)), Err(StoreError::RepeatedKey(_))));
     let keys = names(MAX_BATCH + 1);
     assert!(matches!(store.put_many(&mut drafts(&keys)), Err(StoreError::LargeBatch { .. })));
-    let mut too_much = drafts(&keys[..MAX_BATCH]);
-    too_much.iter_mut().for_each(|draft| draft.value = text("x".repeat(10 * KIB)));
-    assert!(matches!(store.put_many(&mut too_much), Err(StoreError::Full { .. })));
-    drop(too_much);
+    let mut too_large = drafts(&keys[..MAX_BATCH]);
+    too_large.iter_mut().for_each(|draft| draft.value = text("x".repeat(10 * KIB)));
+    assert!(matches!(store.put_many(&mut too_large), Err(StoreError::Full { .. })));
+    drop(too_large);
     assert_eq!((store.under("function/").len(), ledger.held()), (1, held));
 
     let written = store.put_many(&mut drafts(&keys[..MAX_BATCH])).expect("room");
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn configuration_comes_whole_in_pages_of_any_size_with_its_tombstones() {
+fn configuration_pages_are_complete_and_include_tombstones() {
     let store = Store::in_memory("one", roomy());
     for key in ["function/a", "function/b", "function/c", "worker/a", "worker/b"] {
         store.put(&mut Draft::new(key, text(1))).expect("room");
--- a/crates/node/src/memory/store/tests/sharing.rs
+++ b/crates/node/src/memory/store/tests/sharing.rs
@@ -41,12 +41,12 @@
     }
 }
 
-/// Guards followers: a change that is missed, told twice or told in another order makes them differ.
+/// Guards against followers that diverge: a change that is missed, sent twice or reordered would make them differ.
 #[test]
-fn each_change_is_told_once_in_the_order_in_which_it_took_effect() {
+fn each_change_is_sent_once_in_the_order_in_which_it_took_effect() {
     let store = Arc::new(Store::in_memory("one", roomy()));
     store.put(&mut Draft::new("function/before", text(0))).expect("room");
-    let (changes, told) = mpsc::channel();
+    let (changes, received) = mpsc::channel();
     store.on_change(changes);
     let writers: Vec<_> = (0..4u64)
         .map(|writer| {
@@ -60,27 +60,27 @@
         })
         .collect();
     writers.into_iter().for_each(|writer| writer.join().expect("no panic"));
-    let versions = |key: &str, told: &[Record]| -> Vec<u64> {
-        told.iter().filter(|record| &*record.key == key).map(|record| record.version).collect()
+    let versions = |key: &str, received: &[Record]| -> Vec<u64> {
+        received.iter().filter(|record| &*record.key == key).map(|record| record.version).collect()
     };
-    let told: Vec<Record> = told.try_iter().collect();
-    assert_eq!(versions("function/shared", &told), (1..=400).collect::<Vec<_>>());
-    // A later version may arrive before an older one, which then is no news.
-    let merged = versions("function/merged", &told);
+    let received: Vec<Record> = received.try_iter().collect();
+    assert_eq!(versions("function/shared", &received), (1..=400).collect::<Vec<_>>());
+    // If a later version is merged first, the older one has no effect and is not reported.
+    let merged = versions("function/merged", &received);
     assert!(merged.is_sorted_by(|one, next| one < next) && merged.last() == Some(&100));
-    assert!(versions("function/before", &told).is_empty());
+    assert!(versions("function/before", &received).is_empty());
 }
 
 #[test]
-fn node_local_records_neither_leave_nor_come_in() {
+fn node_local_records_are_neither_sent_nor_merged() {
     let (one, two) = (Store::in_memory("one", roomy()), Store::in_memory("two", roomy()));
-    let (writes, told) = mpsc::channel();
+    let (writes, received) = mpsc::channel();
     one.on_write(vec![writes]);
     for key in [POSITION, "seed/one/function/a", "function/a"] {
         one.put(&mut Draft::new(key, text(1))).expect("room");
     }
     let keys = |records: Vec<Record>| records.iter().map(|record| record.key.to_string()).collect::<Vec<_>>();
-    assert_eq!(keys(told.try_iter().collect()), ["function/a"]);
+    assert_eq!(keys(received.try_iter().collect()), ["function/a"]);
     assert_eq!(one.digest().keys().map(|key| &**key).collect::<Vec<_>>(), ["function/a"]);
     assert_eq!(keys(one.lacking(&two.digest(), ALL)), ["function/a"]);
     let sent =
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn seeds_of_other_nodes_in_an_old_log_are_left_out() {
+fn seeds_of_other_nodes_in_an_old_log_are_skipped() {
     let folder = Folder::new("seeds");
     let log = Log::open(&folder.0, roomy().account(Purpose::Log).clone(), |_| {}).expect("opens");
     let records = ["seed/one/function/a", "seed/peer/function/a", "seed/onerous/function/a", "function/a"];
@@ -100,9 +100,9 @@
     assert!(store.get("seed/one/function/a").is_some() && store.get("function/a").is_some());
 }
 
-/// Guards a follower's position against a crash: one that runs ahead of the records would leave a gap for ever.
+/// Guards against a follower's position that is ahead of its records after a crash: the gap would never be filled.
 #[test]
-fn a_note_that_is_found_stands_behind_all_records_that_it_tells_of() {
+fn a_recovered_note_implies_all_records_that_it_covers() {
     let folder = Folder::new("note");
     let store = open(&folder.0).expect("opens");
     store.merge_with_note(vec![of_peer("function/a", 1)], POSITION, text(1).expect("text")).expect("kept");
@@ -110,19 +110,19 @@
     let records = (0..3).map(|name| of_peer(&format!("function/{name}"), 1)).collect();
     assert_eq!(store.merge_with_note(records, POSITION, text(2).expect("text")).expect("kept"), 3);
     drop(store);
-    let whole = std::fs::read(folder.log()).expect("read");
-    for end in before..=whole.len() {
-        std::fs::write(folder.log(), &whole[..end]).expect("written");
+    let full_log = std::fs::read(folder.log()).expect("read");
+    for end in before..=full_log.len() {
+        std::fs::write(folder.log(), &full_log[..end]).expect("written");
         let store = open(&folder.0).expect("opens");
         let position = store.get(POSITION).expect("there").text().to_string();
         let records = store.under("function/").len();
-        assert_eq!(position == "2", end == whole.len(), "torn at {end}");
+        assert_eq!(position == "2", end == full_log.len(), "torn at {end}");
         assert!(position == "1" || records == 4, "torn at {end}: {records} records");
     }
 }
 
 #[test]
-fn where_a_record_has_no_room_nothing_is_taken_in_and_the_older_note_stays() {
+fn a_record_without_room_rejects_the_merge_and_keeps_the_old_note() {
     let (store, ledger) = small();
     let note = |value: u32| text(value).expect("text");
     store.merge_with_note(vec![of_peer("function/a", 1)], POSITION, note(1)).expect("room");
