--- a/crates/node/src/memory/roster.rs
+++ b/crates/node/src/memory/roster.rs
@@ -1,6 +1,6 @@
-//! The workers as the command channel names them and as the operators hold them out, folded into what the decisions
-//! hear and what may still be sent there.
-use super::starts::{HeardAt, Readings, ToldStart};
+//! The known workers. Combines the list from the command channel with the operators' overrides into the roster that the
+//! decision logic receives, and into whether work may be sent to each worker.
+use super::starts::{MonotonicReadings, ReportTime, ReportedStart};
 use crate::clock::{monotonic_ms, UnixTime};
 use corkbay::{position, Ms, Names, Roster, RosterEntry, Standing, WorkerId};
 use corkbay_duty::Bans;
@@ -12,35 +12,36 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
-/// One line of the list, names as they stand on the wire.
+/// One entry of the list of workers, with zone and kind by name as on the wire.
 #[derive(Clone, Debug)]
 pub struct Listing {
-    /// The worker's name; a machine that replaces it has a new one.
+    /// Name of the worker; a replacement machine has a new name.
     pub name: String,
     /// Where it listens.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Name of its zone.
     pub zone: String,
-    /// Its machine kind.
+    /// Name of its machine kind.
     pub kind: String,
-    /// Its rack.
+    /// Number of its cell (rack).
     pub cell: i64,
-    /// Whether it takes work.
+    /// Whether it accepts work.
     pub standing: Standing,
-    /// Size in relation to the others.
+    /// Capacity relative to other workers; 1.0 is nominal.
     pub weight: f64,
-    /// When it last started, by its sender's clock; none for long ago.
+    /// When it last started, by the sender's wall clock; [`UnixTime::NONE`] for long ago.
     pub since: UnixTime,
-    /// When the sender was last heard without this word, on the monotonic clock; minus infinity where it was not.
+    /// When the sender was last in contact without this report, on the monotonic clock in milliseconds; minus infinity if
+    /// never.
     pub heard_without: Ms,
 }
 
-/// One worker. A new name at an old address is another worker, with connections of its own.
+/// One worker. A new name at a known address is another worker, with its own connections.
 #[derive(Debug)]
 pub struct Host {
-    /// Its number.
+    /// Id of the worker.
     pub id: WorkerId,
-    /// Its name.
+    /// Name of the worker.
     pub name: String,
     /// Where it listens.
     pub address: SocketAddr,
@@ -49,95 +50,95 @@
 }
 
 impl Host {
-    /// A host that takes work.
+    /// A host that accepts work.
     pub fn new(id: WorkerId, name: &str, address: SocketAddr) -> Arc<Self> {
         let (barred, suspended) = (AtomicBool::new(false), AtomicBool::new(false));
         Arc::new(Host { id, name: name.to_string(), address, barred, suspended })
     }
 
-    /// Whether it drains, is gone or is suspended: no new work may be written to it.
+    /// Whether no new work may be sent to it, as it is draining, gone or suspended.
     pub fn barred(&self) -> bool {
         self.barred.load(Ordering::Acquire)
     }
 
-    /// Says whether it takes work.
+    /// Sets whether new work is blocked.
     pub fn bar(&self, barred: bool) {
         self.barred.store(barred, Ordering::Release);
     }
 
-    /// Says whether the operators hold it out.
-    pub fn suspend(&self, out: bool) {
-        self.suspended.store(out, Ordering::Release);
+    /// Sets whether operators have suspended it.
+    pub fn suspend(&self, suspended: bool) {
+        self.suspended.store(suspended, Ordering::Release);
     }
 
-    /// Whether the operators hold it out: nothing at all may begin there, no question either.
+    /// Whether operators have suspended it: nothing new may be sent to it, not even probes.
     pub fn suspended(&self) -> bool {
         self.suspended.load(Ordering::Acquire)
     }
 }
 
-/// A worker that is known by its number, and the directory's last word on it.
-struct Known {
+/// A known worker, with its last listed state.
+struct KnownWorker {
     host: Arc<Host>,
     listed: RosterEntry,
-    start: ToldStart,
+    start: ReportedStart,
 }
 
-impl Known {
-    /// What the decisions are to hear of it; what may be sent to it follows at once.
-    fn fold(&self, bans: &Bans) -> RosterEntry {
+impl KnownWorker {
+    /// The roster entry for the decision logic, with the operators' overrides applied. Also updates the flags of the host.
+    fn effective_entry(&self, bans: &Bans) -> RosterEntry {
         let mut entry = self.listed.clone();
-        let out = bans.is_out(&entry.name);
-        if out && entry.standing == Standing::Ready {
+        let is_suspended = bans.is_out(&entry.name);
+        if is_suspended && entry.standing == Standing::Ready {
             entry.standing = Standing::Draining;
         }
-        // Whoever was held out was restarted meanwhile; the directory may know only of an earlier start.
+        // A host is restarted while it is suspended; the list may still report an earlier start.
         entry.born = entry.born.max(bans.back_at(&entry.name).unwrap_or(0.0));
-        self.host.suspend(out);
+        self.host.suspend(is_suspended);
         self.host.bar(entry.standing != Standing::Ready);
         entry
     }
 }
 
-/// Why the operators' overrides on a host is not taken.
+/// Why an operator's override on a host is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BanError {
-    /// No list ever named it.
+    /// The host was never listed.
     Unknown,
-    /// There is no room for one more name.
+    /// There is no room to store another name.
     NoRoom,
 }
 
-/// Workers that have gone and are still known by their number; older ones are forgotten.
-const GONE: usize = 64;
-/// Names of workers that were forgotten of which it is still known that they were listed once.
-const FORGOTTEN: usize = 4096;
+/// Maximum number of gone workers that are kept with their ids; the ones gone longest are dropped.
+const MAX_GONE_WORKERS: usize = 64;
+/// Maximum number of dropped workers whose names are remembered as listed before.
+const MAX_FORGOTTEN_NAMES: usize = 4096;
 
-/// The workers heard of, by name and by number. Numbers are not used again.
+/// The known workers, by name and by id. Ids are not reused.
 pub struct Directory {
     zones: Vec<String>,
     kinds: Vec<String>,
-    hosts: HashMap<WorkerId, Known>,
-    numbers: HashMap<String, WorkerId>,
-    next: u32,
+    hosts: HashMap<WorkerId, KnownWorker>,
+    ids_by_name: HashMap<String, WorkerId>,
+    next_id: u32,
     held: Reservation,
-    /// Those that have gone, the longest gone first.
+    /// Gone workers, the longest gone first.
     gone: VecDeque<WorkerId>,
-    /// Hashes of the names of those that were forgotten.
+    /// Hashes of the names of dropped workers.
     forgotten: VecDeque<u64>,
     bans: Bans,
     bans_held: Reservation,
 }
 
 impl Directory {
-    /// An empty directory that knows the names of zones and kinds, and counts what it holds on an account.
+    /// An empty directory that resolves names of zones and kinds, and charges its memory to an account.
     pub fn new(names: &Names, account: &Account) -> Self {
         Directory {
             zones: names.zones.clone(),
             kinds: names.kinds.clone(),
             hosts: HashMap::new(),
-            numbers: HashMap::new(),
-            next: 0,
+            ids_by_name: HashMap::new(),
+            next_id: 0,
             held: account.nothing(),
             gone: VecDeque::new(),
             forgotten: VecDeque::new(),
@@ -146,16 +147,16 @@
         }
     }
 
-    /// Workers that will be known once this news is taken in.
+    /// Number of workers that will be known after these listings are applied; `whole` if the list is complete.
     pub fn known_after(&self, listings: &[Listing], whole: bool) -> usize {
         if whole {
             return listings.len() + self.gone.len();
         }
-        let fresh = listings.iter().filter(|listing| !self.numbers.contains_key(&listing.name));
-        self.hosts.len() + fresh.count()
+        let new_workers = listings.iter().filter(|listing| !self.ids_by_name.contains_key(&listing.name));
+        self.hosts.len() + new_workers.count()
     }
 
-    /// The worker of that number.
+    /// The worker with this id.
     pub fn host(&self, id: WorkerId) -> Option<Arc<Host>> {
         self.hosts.get(&id).map(|known| known.host.clone())
     }
@@ -165,7 +166,7 @@
         &self.bans
     }
 
-    /// Whether a host can be held out: some list named it, and there is room for its name.
+    /// Checks whether a host can be suspended: it was listed before, and there is room for its name.
     pub fn may_suspend(&mut self, name: &str) -> Result<(), BanError> {
         self.may_resume(name)?;
         let bytes = self.bans.bytes() + Bans::cost(name);
@@ -175,27 +176,28 @@
         Ok(())
     }
 
-    /// Whether a host can be let back: some list named it.
+    /// Checks whether a host can be resumed: it was listed before.
     pub fn may_resume(&self, name: &str) -> Result<(), BanError> {
-        let known = self.numbers.contains_key(name) || self.bans.is_out(name);
+        let known = self.ids_by_name.contains_key(name) || self.bans.is_out(name);
         let listed = known || self.forgotten.contains(&hash(name));
         listed.then_some(()).ok_or(BanError::Unknown)
     }
 
-    /// Takes over the operators' overrides on all hosts; what the decisions are to hear of those for which it has changed.
+    /// Replaces the operators' overrides on all hosts; returns the roster entries of the hosts whose override has changed.
     pub fn adopt(&mut self, bans: Bans) -> Roster {
         let before = std::mem::replace(&mut self.bans, bans);
         self.bans_held.owe(self.bans.bytes());
         let changed = self.hosts.values().filter(|known| {
-            let stand = |bans: &Bans| (bans.is_out(&known.host.name), bans.back_at(&known.host.name));
-            stand(&before) != stand(&self.bans)
+            let override_of = |bans: &Bans| (bans.is_out(&known.host.name), bans.back_at(&known.host.name));
+            override_of(&before) != override_of(&self.bans)
         });
-        let mut entries: Vec<RosterEntry> = changed.map(|known| known.fold(&self.bans)).collect();
+        let mut entries: Vec<RosterEntry> = changed.map(|known| known.effective_entry(&self.bans)).collect();
         entries.sort_unstable_by_key(|entry| entry.worker);
         Roster::Changes(entries)
     }
 
-    /// Takes in news and puts it in the decisions' words. Whom a whole list leaves out has gone.
+    /// Applies listings and returns them as a roster for the decision logic. If the list is complete (`whole`), workers that
+    /// it does not contain are marked as gone. `remembered` marks a list that was remembered instead of received.
     pub fn apply(&mut self, listings: Vec<Listing>, whole: bool, remembered: bool) -> Roster {
         let count = listings.len();
         let entries: Vec<RosterEntry> =
@@ -209,12 +211,12 @@
         let listed: HashSet<WorkerId> = entries.iter().map(|entry| entry.worker).collect();
         self.gone.retain(|id| !listed.contains(id));
         if whole {
-            self.leave_out(&listed);
+            self.mark_missing_as_gone(&listed);
         }
         let gone = entries.iter().filter(|entry| entry.standing == Standing::Gone);
         self.gone.extend(gone.map(|entry| entry.worker));
-        while self.gone.len() > GONE {
-            self.forget_longest_gone();
+        while self.gone.len() > MAX_GONE_WORKERS {
+            self.drop_longest_gone();
         }
         match (whole, remembered) {
             (true, true) => Roster::Remembered(entries),
@@ -223,8 +225,8 @@
         }
     }
 
-    /// Whom a whole list does not name has gone.
-    fn leave_out(&mut self, listed: &HashSet<WorkerId>) {
+    /// Marks the workers that a complete list does not contain as gone.
+    fn mark_missing_as_gone(&mut self, listed: &HashSet<WorkerId>) {
         let mut missing = Vec::new();
         for (id, known) in &mut self.hosts {
             if !listed.contains(id) && known.listed.standing != Standing::Gone {
@@ -237,48 +239,49 @@
         self.gone.extend(missing);
     }
 
-    fn forget_longest_gone(&mut self) {
+    fn drop_longest_gone(&mut self) {
         let forgotten = self.gone.pop_front().and_then(|id| self.hosts.remove(&id));
-        let Some(Known { host, .. }) = forgotten else { return };
-        self.numbers.remove(&host.name);
-        if self.forgotten.len() >= FORGOTTEN {
+        let Some(KnownWorker { host, .. }) = forgotten else { return };
+        self.ids_by_name.remove(&host.name);
+        if self.forgotten.len() >= MAX_FORGOTTEN_NAMES {
             self.forgotten.pop_front();
         }
         self.forgotten.push_back(hash(&host.name));
-        // A hash takes 16 bytes, as the queue may be half empty; it is less than what the host gives back.
-        let more = if self.forgotten.len() < FORGOTTEN { 16 } else { 0 };
-        self.held.shrink_to((self.held.bytes() + more).saturating_sub(cost(&host.name)));
+        // A hash is charged 16 bytes, as the queue may be half empty; that is less than the host releases.
+        let more = if self.forgotten.len() < MAX_FORGOTTEN_NAMES { 16 } else { 0 };
+        self.held.shrink_to((self.held.bytes() + more).saturating_sub(worker_bytes(&host.name)));
     }
 
-    /// Room for a worker that was not known; those that have gone give way.
-    fn make_place(&mut self, name: &str) -> bool {
-        let asked = cost(name);
+    /// Reserves memory for a new worker; drops gone workers to make room.
+    fn reserve_for_new(&mut self, name: &str) -> bool {
+        let asked = worker_bytes(name);
         loop {
             let Err(full) = self.held.resize(self.held.bytes() + asked) else { return true };
             let idle = self.gone.len() * asked;
             let (purpose, cap) = (Purpose::Roster, full.cap);
             match decide(&Case { purpose, asked, cap, idle, frees_in: None, waited: 0.0 }) {
-                Decision::Evict { .. } => self.forget_longest_gone(),
+                Decision::Evict { .. } => self.drop_longest_gone(),
                 Decision::Wait { .. } | Decision::Refuse { .. } => return false,
             }
         }
     }
 
-    /// What is told of one worker; `None` where there is no room for it. News of one that is known always
-    /// counts.
+    /// The roster entry of a listed worker; `None` if the worker is new and there is no room for it. Updates of known
+    /// workers are always applied.
     fn entry(&mut self, listing: Listing) -> Option<RosterEntry> {
-        if !self.numbers.contains_key(&listing.name) && !self.make_place(&listing.name) {
+        if !self.ids_by_name.contains_key(&listing.name) && !self.reserve_for_new(&listing.name) {
             return None;
         }
-        let number = *self.numbers.entry(listing.name.clone()).or_insert_with(|| {
-            self.next += 1;
-            WorkerId(self.next - 1)
+        let id = *self.ids_by_name.entry(listing.name.clone()).or_insert_with(|| {
+            self.next_id += 1;
+            WorkerId(self.next_id - 1)
         });
-        let heard = HeardAt { now: monotonic_ms(), heard_without: listing.heard_without };
-        let before = self.hosts.get(&number).map(|known| known.start);
-        let start = ToldStart::understand(listing.since, Readings::of(listing.since), heard, before);
+        let report = ReportTime { now: monotonic_ms(), heard_without: listing.heard_without };
+        let before = self.hosts.get(&id).map(|known| known.start);
+        let start =
+            ReportedStart::interpret(listing.since, MonotonicReadings::of(listing.since), report, before);
         let listed = RosterEntry {
-            worker: number,
+            worker: id,
             zone: position(&self.zones, &listing.zone).unwrap_or(usize::MAX),
             kind: position(&self.kinds, &listing.kind).unwrap_or(usize::MAX),
             name: listing.name,
@@ -287,23 +290,23 @@
             weight: listing.weight,
             born: start.started,
         };
-        let host = match self.hosts.remove(&number).map(|known| known.host) {
+        let host = match self.hosts.remove(&id).map(|known| known.host) {
             Some(host) if host.address == listing.address => host,
             before => {
-                // The same worker at another address: connections to the old one are not its own.
+                // The worker has moved to another address: connections to the old address must not be used for it.
                 before.into_iter().for_each(|host| host.bar(true));
-                Host::new(number, &listed.name, listing.address)
+                Host::new(id, &listed.name, listing.address)
             }
         };
-        let known = self.hosts.entry(number).or_insert(Known { host, listed, start });
-        Some(known.fold(&self.bans))
+        let known = self.hosts.entry(id).or_insert(KnownWorker { host, listed, start });
+        Some(known.effective_entry(&self.bans))
     }
 }
 
-/// What a worker takes whose name is as long as usual, in bytes.
+/// Memory that a worker with a name of typical length takes, in bytes.
 pub fn usual_cost() -> usize {
-    const USUAL_NAME: &str = "worker-0123456789abcdef";
-    cost(USUAL_NAME)
+    const TYPICAL_NAME: &str = "worker-0123456789abcdef";
+    worker_bytes(TYPICAL_NAME)
 }
 
 fn hash(name: &str) -> u64 {
@@ -312,10 +315,10 @@
     hasher.finish()
 }
 
-/// What a worker takes in the directory: itself, its names there and in two maps that are at times half
-/// empty, and its line among those that have gone.
-fn cost(name: &str) -> usize {
-    let maps = std::mem::size_of::<(WorkerId, Known)>() + std::mem::size_of::<(String, WorkerId)>();
+/// Memory that a worker takes in the directory, in bytes: the host, its names, its entries in two maps that may be half
+/// empty, and its entry in the queue of gone workers.
+fn worker_bytes(name: &str) -> usize {
+    let maps = std::mem::size_of::<(WorkerId, KnownWorker)>() + std::mem::size_of::<(String, WorkerId)>();
     std::mem::size_of::<Host>() + 2 * maps + 3 * name.len() + 5 * 16
 }
 
--- a/crates/node/src/memory/starts.rs
+++ b/crates/node/src/memory/starts.rs
@@ -1,85 +1,85 @@
-//! When workers started, on this process's monotonic clock.
+//! Start times of workers, on this process's monotonic clock.
 //!
-//! The command channel tells starts as dates of the sender's wall clock. Neither that clock nor ours need be right, and
-//! ours may be stepped. A worker that is taken for older than it is gets more than it bears, so of two readings the
-//! younger counts, within what was heard: a start lies before the time at which it was told, and not long before the
-//! last time at which the channel was heard without it.
+//! The command channel reports starts as dates of the sender's wall clock. Both that clock and ours may be wrong, and
+//! ours may be stepped. A worker that is believed to be older than it is receives more load than it can bear, so of two
+//! possible start times the later one is used, within known bounds: a start precedes its report, and is not much earlier
+//! than the last contact on the channel that did not report it.
 use crate::clock::UnixTime;
 use corkbay::Ms;
 
-/// A start is told within this time, on a channel that is being heard.
-const TOLD_WITHIN_MS: Ms = 15_000.0;
+/// On a working channel a start is reported within this time, in milliseconds.
+const MAX_REPORT_DELAY_MS: Ms = 15_000.0;
 
-/// A start as it was told and as it was understood.
+/// A start as reported, and its time on our monotonic clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ToldStart {
-    /// The date told; none for long ago.
+pub struct ReportedStart {
+    /// The reported date; [`UnixTime::NONE`] for long ago.
     pub since: UnixTime,
-    /// The point on the monotonic clock; 0 for long ago.
+    /// Start time on the monotonic clock in milliseconds; 0 for long ago.
     pub started: Ms,
 }
 
-/// The readings of a date on the monotonic clock.
+/// A date converted to the monotonic clock, in milliseconds.
 #[derive(Clone, Copy, Debug)]
-pub struct Readings {
-    /// By the wall clock as it stood when this process began.
+pub struct MonotonicReadings {
+    /// By the wall clock as it was when this process started.
     pub at_start_clock: Ms,
-    /// By the wall clock as it stands now.
+    /// By the wall clock as it is now.
     pub at_present_clock: Ms,
 }
 
-impl Readings {
-    /// The readings of a date now.
+impl MonotonicReadings {
+    /// Converts a date now.
     pub fn of(date: UnixTime) -> Self {
-        Readings { at_start_clock: date.at_start_clock(), at_present_clock: date.at_present_clock() }
+        MonotonicReadings { at_start_clock: date.at_start_clock(), at_present_clock: date.at_present_clock() }
     }
 }
 
-/// When it was heard.
+/// When a start was reported, on the monotonic clock in milliseconds.
 #[derive(Clone, Copy, Debug)]
-pub struct HeardAt {
-    /// Now.
+pub struct ReportTime {
+    /// When the report was received.
     pub now: Ms,
-    /// When the channel was last heard without it; minus infinity where it was not.
+    /// When the channel was last in contact without reporting it; minus infinity if never.
     pub heard_without: Ms,
 }
 
-impl ToldStart {
-    /// Understands a date that was told, behind what was told of the same worker before.
-    pub fn understand(
+impl ReportedStart {
+    /// Determines the start time for a reported date; `before` is the previous report for the same worker.
+    pub fn interpret(
         since: UnixTime,
-        readings: Readings,
-        heard: HeardAt,
-        before: Option<ToldStart>,
-    ) -> ToldStart {
+        readings: MonotonicReadings,
+        report: ReportTime,
+        before: Option<ReportedStart>,
+    ) -> ReportedStart {
         if since.is_none() {
-            return ToldStart { since, started: 0.0 };
+            return ReportedStart { since, started: 0.0 };
         }
         if let Some(same) = before.filter(|before| before.since == since) {
             return same;
         }
-        let youngest = readings.at_start_clock.max(readings.at_present_clock).min(heard.now);
-        let is_plausible = youngest >= heard.heard_without - TOLD_WITHIN_MS;
-        let started = if is_plausible { youngest } else { heard.now };
-        // Another date is another process, which began later.
+        let latest = readings.at_start_clock.max(readings.at_present_clock).min(report.now);
+        let is_plausible = latest >= report.heard_without - MAX_REPORT_DELAY_MS;
+        let started = if is_plausible { latest } else { report.now };
+        // Another date means another process, which started later.
         let after = before.map_or(Ms::MIN_POSITIVE, |before| before.started.next_up());
-        ToldStart { since, started: started.max(after) }
+        ReportedStart { since, started: started.max(after) }
     }
 }
 
-/// When the channel was heard, so that it is known since when a start could have been told.
+/// The times of the last contacts on the channel, which bound when a reported start can have happened.
 #[derive(Clone, Copy, Debug)]
 pub struct Contact {
     last: Ms,
     before_last: Ms,
-    /// What was missed during a silence comes by that time; when the channel was heard before it.
+    /// After a silence: until when missed reports are expected, and the time of the last contact before the silence.
     catching_up: Option<(Ms, Ms)>,
 }
 
-/// The channel says something each second; a longer silence is one in which news was missed.
-const SILENCE_MS: Ms = 1300.0;
-/// What was missed comes within this time, once the channel is heard again.
-const CAUGHT_UP_MS: Ms = 2000.0;
+/// The channel sends a message each second; after a longer gap, reports may have been missed. In milliseconds.
+const MAX_GAP_MS: Ms = 1300.0;
+/// Missed reports arrive within this time after contact is restored, in milliseconds.
+const CATCH_UP_MS: Ms = 2000.0;
 
 impl Default for Contact {
     fn default() -> Self {
@@ -88,15 +88,16 @@
 }
 
 impl Contact {
-    /// Something was heard.
+    /// Registers a message at `now`, on the monotonic clock in milliseconds.
     pub fn heard(&mut self, now: Ms) {
-        if now - self.last > SILENCE_MS {
-            self.catching_up = Some((now + CAUGHT_UP_MS, self.last));
+        if now - self.last > MAX_GAP_MS {
+            self.catching_up = Some((now + CATCH_UP_MS, self.last));
         }
         (self.before_last, self.last) = (self.last, now);
     }
 
-    /// When the channel was last heard without what it tells now.
+    /// When the channel was last in contact without the current report, on the monotonic clock in milliseconds; minus
+    /// infinity if never.
     pub fn heard_without(&self) -> Ms {
         match self.catching_up {
             Some((until, before)) if self.last < until => before,
