--- a/crates/node/src/memory/clients.rs
+++ b/crates/node/src/memory/clients.rs
@@ -1,95 +1,96 @@
-//! The table of client connections: what each waits for, which are drained, and which is evicted when another client wants
-//! its place.
+//! The table of client connections: the state of each, which ones are draining, and which one is evicted to make room for
+//! a new connection.
 use corkbay::Ms;
 use std::collections::BTreeMap;
 
-/// How often the place of a connection is wanted while something stands unread on it before its reader is taken for held up.
-const READERS_TURNS: u32 = 5;
+/// Number of eviction attempts that find unread data on a connection before its reader is considered stalled.
+const MAX_UNREAD_ATTEMPTS: u32 = 5;
 
-/// The connections of clients; `H` is what closes one.
+/// The client connections; `H` is a handle to close one.
 #[derive(Debug)]
 pub struct ClientTable<H> {
-    next: u64,
+    last_number: u64,
     entries: BTreeMap<u64, Entry<H>>,
 }
 
 #[derive(Debug)]
 struct Entry<H> {
     handle: H,
-    /// Requests that are owed an answer on it.
+    /// Number of unanswered requests.
     open: usize,
-    /// It was given an answer.
+    /// Whether an answer was ever written to it.
     answered: bool,
-    /// When it connected, or last had an answer or a request open.
+    /// When it connected, or when its last answer was written or its last request ended; on the monotonic clock in
+    /// milliseconds.
     since: Ms,
-    /// Its place was given to another: it is to end.
+    /// Whether it was chosen for eviction and is to be closed.
     evicted: bool,
-    /// Its place was wanted while something stood unread on it: it ends once nothing is owed on it.
-    leaving: bool,
-    /// How often its place was wanted while something stood unread on it.
-    unread_looks: u32,
-    /// It is closed once nothing is owed on it, or passed on before.
+    /// Whether an eviction attempt found unread data on it: it is closed once all its requests are answered.
+    evict_when_answered: bool,
+    /// Number of eviction attempts that found unread data on it.
+    unread_attempts: u32,
+    /// Whether it is draining: it is closed once all its requests are answered, or handed over before that.
     draining: bool,
-    /// Its reading side is shut, or it was handed over.
+    /// Whether its read side is shut down, or it was handed over.
     shut: bool,
 }
 
-/// What a client's connection is waiting for.
+/// The state of a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientState {
-    /// Something is owed on it.
+    /// It has unanswered requests.
     Busy,
-    /// It was answered before and has nothing open.
+    /// It was answered before and has no open request.
     Idle,
-    /// It never had an answer and has nothing open.
+    /// It was never answered and has no open request.
     Silent,
 }
 
-/// Why no connection gives way to a newcomer.
+/// Why no connection can be evicted to make room for a new one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoneIdle {
-    /// Something stands unread on one that is owed nothing, whose reader has had no turn yet.
+    /// A connection without open requests has unread data that its reader has not had the time to read yet.
     Unread,
-    /// All are owed something, or their readers are held up.
+    /// All connections have open requests or a stalled reader.
     Busy,
 }
 
 impl<H> Default for ClientTable<H> {
     fn default() -> Self {
-        ClientTable { next: 0, entries: BTreeMap::new() }
+        ClientTable { last_number: 0, entries: BTreeMap::new() }
     }
 }
 
 impl<H: Clone> ClientTable<H> {
-    /// Takes a new connection in; tells its number.
+    /// Adds a new connection; returns its number. `now` is on the monotonic clock in milliseconds, here and below.
     pub fn insert(&mut self, handle: H, now: Ms) -> u64 {
-        self.next += 1;
+        self.last_number += 1;
         let entry = Entry {
             handle,
             open: 0,
             answered: false,
             since: now,
             evicted: false,
-            leaving: false,
-            unread_looks: 0,
+            evict_when_answered: false,
+            unread_attempts: 0,
             draining: false,
             shut: false,
         };
-        self.entries.insert(self.next, entry);
-        self.next
+        self.entries.insert(self.last_number, entry);
+        self.last_number
     }
 
-    /// The connection has ended.
+    /// Removes a connection that has ended.
     pub fn remove(&mut self, number: u64) {
         self.entries.remove(&number);
     }
 
-    /// A request was taken on it.
+    /// Registers a request that was received on the connection.
     pub fn opened(&mut self, number: u64) {
         self.entries.entry(number).and_modify(|entry| entry.open += 1);
     }
 
-    /// A request on it has come to its end; tells whether it is drained.
+    /// Registers the end of a request; returns whether the connection is draining.
     pub fn closed(&mut self, number: u64, now: Ms) -> bool {
         self.entries.get_mut(&number).is_some_and(|entry| {
             (entry.open, entry.since) = (entry.open.saturating_sub(1), now);
@@ -97,12 +98,12 @@
         })
     }
 
-    /// An answer was written to it.
+    /// Registers an answer that was written to the connection.
     pub fn answered(&mut self, number: u64, now: Ms) {
         self.entries.entry(number).and_modify(|entry| (entry.answered, entry.since) = (true, now));
     }
 
-    /// What it is waiting for, and since when.
+    /// The state of a connection, and since when on the monotonic clock in milliseconds.
     pub fn state(&self, number: u64) -> (ClientState, Ms) {
         self.entries.get(&number).map_or((ClientState::Silent, 0.0), |entry| {
             let state = match (entry.open, entry.answered) {
@@ -114,9 +115,9 @@
         })
     }
 
-    /// Drains all: each is closed once nothing is owed on it. Names those on which nothing is owed and nothing stands
-    /// unread, whose reading sides are to be shut, each once. The others are read on as before, so that their clients are
-    /// seen to leave.
+    /// Starts to drain all connections: each is closed once all its requests are answered. Returns the connections without
+    /// open requests and without unread data; the caller shuts down their read sides. Each is returned once. The others
+    /// are still read, so that a disconnect of their clients is noticed.
     pub fn drain(&mut self, mut has_unread: impl FnMut(&H) -> bool) -> Vec<H> {
         let mut idle = Vec::new();
         for entry in self.entries.values_mut() {
@@ -130,61 +131,65 @@
         idle
     }
 
-    /// Whether the connection may be passed on; from then on it is nobody else's to close.
+    /// Marks a draining connection as handed over to another process; false if it can't be handed over. From then on nothing
+    /// else closes it.
     pub fn hand_over(&mut self, number: u64) -> bool {
         let entry =
             self.entries.get_mut(&number).filter(|entry| entry.draining && !entry.shut && !entry.evicted);
         entry.map(|entry| (entry.shut, entry.evicted) = (true, true)).is_some()
     }
 
-    /// Whether it is closed once nothing is owed on it.
+    /// Whether the connection is draining.
     pub fn is_draining(&self, number: u64) -> bool {
         self.entries.get(&number).is_some_and(|entry| entry.draining)
     }
 
-    /// Whether its reading side is shut.
+    /// Whether the read side of the connection is shut down.
     pub fn is_shut(&self, number: u64) -> bool {
         self.entries.get(&number).is_some_and(|entry| entry.shut)
     }
 
-    /// Whether its place is given to another, or to be given.
+    /// Whether the connection is evicted, or will be once its requests are answered.
     pub fn is_evicted(&self, number: u64) -> bool {
-        self.entries.get(&number).is_some_and(|entry| entry.evicted || entry.leaving)
+        self.entries.get(&number).is_some_and(|entry| entry.evicted || entry.evict_when_answered)
     }
 
-    /// Whether its reading side is to be shut now, since its place was wanted and nothing is owed on it any more. True once.
+    /// Whether the read side is to be shut down now, as an eviction was deferred and all requests are answered. Returns true
+    /// once.
     pub fn leave(&mut self, number: u64) -> bool {
-        let entry =
-            self.entries.get_mut(&number).filter(|entry| entry.leaving && entry.open == 0 && !entry.shut);
+        let entry = self
+            .entries
+            .get_mut(&number)
+            .filter(|entry| entry.evict_when_answered && entry.open == 0 && !entry.shut);
         let Some(entry) = entry else { return false };
         (entry.draining, entry.shut) = (true, true);
         true
     }
 
-    /// Whose place is given to another: of those with nothing open and nothing unread one that never had an answer, else
-    /// the one idle longest. Each is named once, and is to be closed: only what has come by then is owed. Those before it
-    /// on which something stands unread are read and answered first, and leave after that. Before one of them that never had
-    /// an answer was read, none of those that had one gives way.
+    /// Chooses a connection to evict among those without open requests and without unread data: one that was never
+    /// answered, else the one that is idle longest. Each is returned once and is to be closed; only requests received by
+    /// then are still answered. Connections earlier in this order that have unread data are read and answered first, and
+    /// closed after that. While a connection that was never answered has unread data, no answered one is evicted.
     pub fn evict_idle(&mut self, mut has_unread: impl FnMut(&H) -> bool) -> Result<H, NoneIdle> {
         let mut idle: Vec<_> =
             self.entries.values_mut().filter(|entry| entry.open == 0 && !entry.evicted).collect();
         idle.sort_by(|a, b| a.answered.cmp(&b.answered).then(a.since.total_cmp(&b.since)));
-        let (mut is_silent_unread, mut wants_readers_turn) = (false, false);
+        let (mut has_unread_silent, mut reader_may_catch_up) = (false, false);
         for entry in idle {
-            if entry.answered && is_silent_unread {
+            if entry.answered && has_unread_silent {
                 break;
             }
             if has_unread(&entry.handle) {
-                entry.leaving = true;
-                entry.unread_looks = entry.unread_looks.saturating_add(1);
-                wants_readers_turn |= entry.unread_looks < READERS_TURNS;
-                is_silent_unread |= !entry.answered;
+                entry.evict_when_answered = true;
+                entry.unread_attempts = entry.unread_attempts.saturating_add(1);
+                reader_may_catch_up |= entry.unread_attempts < MAX_UNREAD_ATTEMPTS;
+                has_unread_silent |= !entry.answered;
                 continue;
             }
             (entry.evicted, entry.draining, entry.shut) = (true, true, true);
             return Ok(entry.handle.clone());
         }
-        Err(if wants_readers_turn { NoneIdle::Unread } else { NoneIdle::Busy })
+        Err(if reader_may_catch_up { NoneIdle::Unread } else { NoneIdle::Busy })
     }
 }
 
--- a/crates/node/src/memory/clients/tests.rs
+++ b/crates/node/src/memory/clients/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-/// Guards the usual clients against those that connect and say nothing, or ask once and stay: these
-/// give way first, and nobody who is owed an answer does.
+/// Guards regular clients against those that connect and send nothing, or send one request and stay connected: these are
+/// evicted first, and connections with unanswered requests never are.
 #[test]
-fn the_silent_give_way_first_then_the_longest_idle_and_the_busy_never() {
+fn silent_connections_are_evicted_first_then_the_longest_idle_and_busy_ones_never() {
     let mut clients = ClientTable::default();
     let idle = clients.insert("idle", 1.0);
     let fresh = clients.insert("fresh", 2.0);
@@ -18,18 +18,18 @@
         assert_eq!(clients.state(number), (ClientState::Idle, now));
     }
     clients.opened(busy);
-    let ways: Vec<_> = std::iter::from_fn(|| clients.evict_idle(|_| false).ok()).collect();
-    assert_eq!(ways, ["silent longer", "silent", "idle", "fresh"]);
+    let evicted: Vec<_> = std::iter::from_fn(|| clients.evict_idle(|_| false).ok()).collect();
+    assert_eq!(evicted, ["silent longer", "silent", "idle", "fresh"]);
     clients.closed(busy, 9.0);
-    assert_eq!(clients.state(busy), (ClientState::Silent, 9.0), "what it took back was never answered");
+    assert_eq!(clients.state(busy), (ClientState::Silent, 9.0), "its cancelled request was never answered");
     assert_eq!(clients.evict_idle(|_| false), Ok("busy"));
     clients.remove(busy);
     assert_eq!(clients.evict_idle(|_| false), Err(NoneIdle::Busy));
 }
 
-/// Guards a drain: all are drained, newcomers too; each is shut once, and while something is owed on it not at all.
+/// Guards a drain: it covers all connections, new ones too; each is shut down once, and only without unanswered requests.
 #[test]
-fn all_are_drained_and_shut_once_nothing_is_owed() {
+fn all_connections_are_drained_and_shut_once_answered() {
     let mut clients = ClientTable::default();
     let first = clients.insert("first", 1.0);
     assert!(!clients.is_draining(first));
@@ -48,39 +48,43 @@
     assert!(clients.drain(|_| false).is_empty());
 }
 
-/// Guards a connection that passes to a successor: it is passed or closed, never both, and by one alone.
+/// Guards the handover of a connection to a successor: it is either handed over or closed, and only once.
 #[test]
-fn what_is_busy_is_passed_on_or_told_to_go() {
+fn a_busy_connection_is_either_handed_over_or_closed() {
     let mut clients = ClientTable::default();
     let [idle, busy, late] = ["idle", "busy", "late"].map(|name| clients.insert(name, 1.0));
     [busy, late].into_iter().for_each(|number| clients.opened(number));
-    assert!(!clients.hand_over(busy), "nobody leaves yet");
+    assert!(!clients.hand_over(busy), "not draining yet");
     assert_eq!(clients.drain(|_| false), ["idle"]);
     assert!(!clients.hand_over(idle) && clients.hand_over(busy) && !clients.hand_over(busy));
     clients.closed(busy, 2.0);
     assert_eq!((clients.drain(|_| false), clients.evict_idle(|_| false)), (vec![], Ok("idle")));
     clients.closed(late, 3.0);
-    assert_eq!(clients.drain(|_| false), ["late"], "nothing is owed on it any more");
+    assert_eq!(clients.drain(|_| false), ["late"], "all its requests are answered");
     assert!(!clients.hand_over(late));
 }
 
-/// Guards what stands unread on a connection whose place is wanted: another gives way, and it leaves once it was answered.
+/// Guards against losing an unread request by eviction: another connection is evicted, and this one is closed once it is
+/// answered.
 #[test]
-fn who_has_sent_something_gives_way_after_its_answer() {
+fn a_connection_with_unread_data_is_evicted_after_its_answer() {
     let mut clients = ClientTable::default();
     let [asking, other] = ["asking", "other"].map(|name| clients.insert(name, 1.0));
     assert_eq!(clients.evict_idle(|name| *name == "asking"), Ok("other"));
     clients.remove(other);
     clients.opened(asking);
-    assert!(!clients.leave(asking) && !clients.is_shut(asking), "its client is still seen to leave");
+    assert!(
+        !clients.leave(asking) && !clients.is_shut(asking),
+        "a disconnect of its client is still noticed"
+    );
     clients.closed(asking, 2.0);
     assert!(clients.leave(asking) && clients.is_shut(asking) && !clients.leave(asking));
-    assert_eq!(clients.evict_idle(|_| false), Ok("asking"), "should its reader not end");
+    assert_eq!(clients.evict_idle(|_| false), Ok("asking"), "if its reader does not end");
 }
 
-/// Guards usual clients against a flood that was not read yet.
+/// Guards regular clients against a flood of new connections whose requests were not read yet.
 #[test]
-fn nobody_who_was_answered_gives_way_before_the_silent_were_read() {
+fn no_answered_connection_is_evicted_before_silent_ones_are_read() {
     let mut clients = ClientTable::default();
     let usual = clients.insert("usual", 1.0);
     clients.answered(usual, 2.0);
@@ -92,26 +96,26 @@
     assert_eq!(clients.evict_idle(|_| false), Ok("usual"));
 }
 
-/// Guards newcomers against a reader that never reads on: its turn is waited for a few times only.
+/// Guards new connections against a stalled reader: its unread data defers an eviction a few times only.
 #[test]
-fn a_reader_that_is_held_up_makes_newcomers_wait_a_few_times_only() {
+fn a_stalled_reader_defers_an_eviction_a_few_times_only() {
     let mut clients = ClientTable::default();
     clients.insert("held up", 1.0);
-    let looks: Vec<_> = (0..9).map(|_| clients.evict_idle(|_| true)).collect();
-    let (unread, busy) = looks.split_at(READERS_TURNS as usize - 1);
-    assert!(unread.iter().all(|end| *end == Err(NoneIdle::Unread)), "{looks:?}");
-    assert!(busy.iter().all(|end| *end == Err(NoneIdle::Busy)), "{looks:?}");
+    let attempts: Vec<_> = (0..9).map(|_| clients.evict_idle(|_| true)).collect();
+    let (unread, busy) = attempts.split_at(MAX_UNREAD_ATTEMPTS as usize - 1);
+    assert!(unread.iter().all(|end| *end == Err(NoneIdle::Unread)), "{attempts:?}");
+    assert!(busy.iter().all(|end| *end == Err(NoneIdle::Busy)), "{attempts:?}");
 }
 
-/// Guards a request that stands unread when its connection is drained: its client is still seen to leave.
+/// Guards against losing an unread request by a drain, and against missing the disconnect of its client.
 #[test]
-fn a_drain_shuts_nothing_on_which_something_stands_unread() {
+fn a_drain_does_not_shut_connections_with_unread_data() {
     let mut clients = ClientTable::default();
     let [asking, idle] = ["asking", "idle"].map(|name| clients.insert(name, 1.0));
     assert_eq!(clients.drain(|name| *name == "asking"), ["idle"]);
     assert!(clients.is_draining(asking) && !clients.is_shut(asking) && clients.is_shut(idle));
     clients.opened(asking);
-    assert!(clients.drain(|_| false).is_empty(), "something is owed on it");
+    assert!(clients.drain(|_| false).is_empty(), "it has an unanswered request");
     clients.closed(asking, 2.0);
     assert_eq!(clients.drain(|_| false), ["asking"]);
 }
--- a/crates/node/src/memory/counters.rs
+++ b/crates/node/src/memory/counters.rs
@@ -1,4 +1,4 @@
-//! Counters of what is taken in, sent and answered.
+//! Counters and histograms of requests, attempts, connections and operator calls.
 use crate::core::Unserved;
 use corkbay::Outcome;
 use prometheus_client::metrics::histogram::{exponential_buckets, Histogram};
@@ -6,90 +6,90 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 
-/// A number that only grows.
+/// A monotonically increasing counter.
 #[derive(Debug, Default)]
 pub struct Counter(AtomicU64);
 
 impl Counter {
-    /// One more.
+    /// Increments the counter.
     pub fn add(&self) {
         self.0.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// The number now.
+    /// The current value.
     pub fn get(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
 }
 
-/// Connections to workers.
+/// Connection attempts to workers.
 #[derive(Debug, Default)]
 pub struct Dials {
-    /// Tried.
+    /// All connection attempts.
     pub tried: Counter,
-    /// Refused or not made in time.
+    /// Connection attempts that were refused or timed out.
     pub failed: Counter,
 }
 
-/// All counters of a process; their text form is one line of `name=number`.
+/// All counters of a process. Displayed as one line of `name=value` pairs.
 #[derive(Debug)]
 pub struct Counters {
-    /// Requests taken.
+    /// Requests accepted.
     pub taken: Counter,
     /// Attempts started.
     pub sent: Counter,
-    /// Orders to load.
+    /// Load orders sent.
     pub orders: Counter,
-    /// Questions whether a model stands, which cost what an order costs.
+    /// Probes of whether a model is loaded, which cost a worker as much as a load order.
     pub questions: Counter,
-    /// Connections that carry frames to workers.
+    /// Connection attempts of the framed protocol to workers.
     pub dials: Arc<Dials>,
-    /// Calls of the command channel.
+    /// Calls to the command channel.
     pub channel_calls: Counter,
-    /// Events and entries of the command channel that could not be read.
+    /// Events and entries of the command channel that could not be parsed.
     pub channel_odd: Counter,
-    /// Orders to unload.
+    /// Unload orders sent.
     pub evictions: Counter,
-    /// Answers by kind.
+    /// Requests served.
     pub served: Counter,
-    /// Refusals.
+    /// Requests refused.
     pub refused: Counter,
-    /// Failures.
+    /// Requests failed.
     pub failed: Counter,
-    /// Requests that clients gave up.
+    /// Requests cancelled by clients.
     pub withdrawn: Counter,
-    /// Requests that could not be read.
+    /// Requests that could not be parsed.
     pub malformed: Counter,
-    /// Requests that were not taken, for crowding or a drain.
+    /// Requests rejected because of overload or a drain.
     pub turned_away: Counter,
-    /// Of these, those that came while the process was behind.
+    /// Those of them that were rejected because the process was behind schedule.
     pub turned_away_behind: Counter,
-    /// Times that the process fell behind.
+    /// Times that the process fell behind schedule.
     pub fell_behind: Counter,
-    /// Operators' calls that were answered with yes.
+    /// Operator calls that were accepted.
     pub operators_yes: Counter,
-    /// Operators' calls that were answered with no.
+    /// Operator calls that were rejected.
     pub operators_no: Counter,
-    /// Those of each kind, by [`OPERATORS`]: yes, no.
+    /// Operator calls by kind, in the order of [`OPERATORS`]: accepted, rejected.
     pub operators: [[Counter; 2]; OPERATORS.len()],
-    /// Connections of clients that went to the successor.
+    /// Client connections handed over to the successor process.
     pub passed_on: Counter,
-    /// Connections of clients that came from the process before.
+    /// Client connections taken over from the previous process.
     pub taken_over: Counter,
-    /// Attempts behind the first of their request.
+    /// Retries: attempts after the first of their request.
     pub retried: Counter,
-    /// Attempts that brought nothing, by outcome.
+    /// Unsuccessful attempts by outcome, in the order of [`OUTCOMES`].
     lost: [Counter; 9],
-    /// Requests that ended without an answer of a worker, by [`Unserved::position`].
+    /// Requests that ended without an answer from a worker, by [`Unserved::position`].
     unserved: Vec<Counter>,
-    /// Bodies of calls that were taken, in bytes.
+    /// Body sizes of accepted calls, in bytes.
     pub body_bytes: Histogram,
-    /// Times from taking a call to its end, in seconds.
+    /// Times from the acceptance of a call to its end, in seconds.
     pub call_seconds: Histogram,
 }
 
 impl Counters {
-    /// All at nothing, beside what the way to the workers counts.
+    /// All counters at zero, except `dials`, which is shared with the code that connects to workers.
     pub fn new(dials: Arc<Dials>) -> Self {
         let counter = Counter::default;
         Counters {
@@ -123,7 +123,7 @@
     }
 }
 
-/// Operators' calls.
+/// The kinds of operator calls.
 pub const OPERATORS: [&str; 5] = ["readyz", "suspend", "resume", "drain", "activate"];
 
 const OUTCOMES: [(Outcome, &str); 9] = [
@@ -139,23 +139,23 @@
 ];
 
 impl Counters {
-    /// A request ended without an answer of a worker.
+    /// Counts a request that ended without an answer from a worker.
     pub fn unserved(&self, reason: Unserved) {
         if let Some(counter) = self.unserved.get(reason.position()) {
             counter.add();
         }
     }
 
-    /// An attempt brought nothing.
+    /// Counts an unsuccessful attempt by its outcome.
     pub fn lost(&self, outcome: Outcome) {
-        if let Some(place) = OUTCOMES.iter().position(|known| known.0 == outcome) {
+        if let Some(place) = OUTCOMES.iter().position(|entry| entry.0 == outcome) {
             self.lost[place].add();
         }
     }
 }
 
 impl Counters {
-    /// Each by its name, the attempts that brought nothing as `lost_` and their outcome.
+    /// All counters with their names; unsuccessful attempts are named `lost_` and the outcome.
     pub fn named(&self) -> impl Iterator<Item = (String, u64)> + '_ {
         let named = [
             ("taken", &self.taken),
--- a/crates/node/src/memory/link.rs
+++ b/crates/node/src/memory/link.rs
@@ -1,46 +1,46 @@
-//! The state of one connection to a worker, apart from its socket: which exchanges are open on it and
-//! how far each has come.
+//! The state of one connection to a worker, without its socket: which exchanges (a request and its response) are open
+//! on it, and how far each request has been written.
 use std::collections::{HashMap, VecDeque};
 
-/// Ids of ended exchanges that a connection remembers: a late or second answer to one must not be taken for
-/// a later attempt's under the same id, which goes out on another connection.
-const SPENT: usize = 256;
+/// Number of ids of ended exchanges that a connection remembers and does not use again. A late or duplicate answer to one
+/// must not be matched to a later attempt with the same id, which is sent on another connection.
+const MAX_ENDED_IDS: usize = 256;
 
-/// How far an exchange has come.
+/// How far the request of an exchange has been written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// Waits for its turn.
+    /// Queued; nothing has been written.
     Queued,
-    /// Its first byte may have been written.
+    /// Its first bytes may have been written.
     Writing,
-    /// Whole on the wire.
+    /// Written completely.
     Whole,
 }
 
-/// The exchanges of one connection; `W` is whoever waits for the end of one.
+/// The exchanges of one connection; `W` is what waits for the end of an exchange.
 #[derive(Debug)]
 pub struct Link<W> {
     open: HashMap<u64, (Stage, W)>,
-    spent: VecDeque<u64>,
+    ended: VecDeque<u64>,
     streams: usize,
     closed: bool,
 }
 
 impl<W> Link<W> {
-    /// A connection that carries so many exchanges at once.
+    /// A connection that carries up to `streams` concurrent exchanges.
     pub fn new(streams: usize) -> Self {
-        Link { open: HashMap::new(), spent: VecDeque::new(), streams: streams.max(1), closed: false }
+        Link { open: HashMap::new(), ended: VecDeque::new(), streams: streams.max(1), closed: false }
     }
 
-    /// Whether an exchange with that id may be opened.
+    /// Whether an exchange with this id may be opened.
     pub fn admits(&self, id: u64) -> bool {
         !self.closed
             && self.open.len() < self.streams
             && !self.open.contains_key(&id)
-            && !self.spent.contains(&id)
+            && !self.ended.contains(&id)
     }
 
-    /// Opens an exchange where [`Link::admits`] allows it; gives the waiter back where not.
+    /// Opens an exchange if [`Link::admits`] allows it; otherwise returns the waiter.
     pub fn open(&mut self, id: u64, waiter: W) -> Result<(), W> {
         if !self.admits(id) {
             return Err(waiter);
@@ -49,7 +49,7 @@
         Ok(())
     }
 
-    /// Its bytes are about to be written; false if it was given up meanwhile.
+    /// Marks an exchange as being written; false if it is not queued any more, for example because it was abandoned.
     pub fn begin(&mut self, id: u64) -> bool {
         match self.open.get_mut(&id) {
             Some((stage @ Stage::Queued, _)) => {
@@ -60,58 +60,58 @@
         }
     }
 
-    /// Its last byte was written.
+    /// Marks the request of an exchange as written completely.
     pub fn whole(&mut self, id: u64) {
         if let Some((stage @ Stage::Writing, _)) = self.open.get_mut(&id) {
             *stage = Stage::Whole;
         }
     }
 
-    /// An answer came under that id; nobody may wait for it any more.
+    /// Ends an exchange for which an answer was received; returns its waiter, or `None` if no such exchange is open.
     pub fn answered(&mut self, id: u64) -> Option<W> {
-        // An answer to what was never written is no answer.
+        // An answer to a request that was not written can't belong to it.
         if self.open.get(&id).is_none_or(|entry| entry.0 == Stage::Queued) {
             return None;
         }
         let entry = self.open.remove(&id)?;
-        self.spend(id);
+        self.remember_ended(id);
         Some(entry.1)
     }
 
-    fn spend(&mut self, id: u64) {
-        self.spent.push_back(id);
-        if self.spent.len() > SPENT {
-            self.spent.pop_front();
+    fn remember_ended(&mut self, id: u64) {
+        self.ended.push_back(id);
+        if self.ended.len() > MAX_ENDED_IDS {
+            self.ended.pop_front();
         }
     }
 
-    /// Gives an exchange up; tells how far it had come.
+    /// Abandons an exchange; returns its stage and its waiter.
     pub fn give_up(&mut self, id: u64) -> Option<(Stage, W)> {
         let entry = self.open.remove(&id)?;
         if entry.0 != Stage::Queued {
-            self.spend(id);
+            self.remember_ended(id);
         }
         Some(entry)
     }
 
-    /// Closes the connection if nothing is open on it; tells whether it is closed.
+    /// Marks the connection as closed if no exchange is open; returns whether it is closed.
     pub fn close_idle(&mut self) -> bool {
         self.closed |= self.open.is_empty();
         self.closed
     }
 
-    /// The connection ended; hands back all that was open.
+    /// Marks the connection as closed; returns the stages and waiters of all open exchanges.
     pub fn close(&mut self) -> Vec<(Stage, W)> {
         self.closed = true;
         self.open.drain().map(|entry| entry.1).collect()
     }
 
-    /// Whether nothing is open on it.
+    /// Whether no exchange is open.
     pub fn is_idle(&self) -> bool {
         self.open.is_empty()
     }
 
-    /// Whether the connection has ended.
+    /// Whether the connection is closed.
     pub fn is_closed(&self) -> bool {
         self.closed
     }
--- a/crates/node/src/memory/mod.rs
+++ b/crates/node/src/memory/mod.rs
@@ -1,4 +1,4 @@
-//! What is kept in memory: the roster, connection states, counters.
+//! State of an invoker: the replicated store and its log, the catalog, the roster, connection states and counters.
 pub mod catalog;
 pub mod clients;
 pub mod counters;
@@ -15,7 +15,7 @@
 pub mod starts;
 pub mod store;
 
-/// Accounts with room for all that a test holds.
+/// A ledger with a budget that is large enough for any test.
 #[cfg(test)]
 pub(crate) fn roomy() -> std::sync::Arc<corkbay_ledger::Ledger> {
     use corkbay_ledger::{Budget, Ledger, Shares, MIB};
--- a/crates/node/src/memory/resident/tests.rs
+++ b/crates/node/src/memory/resident/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn what_is_touched_is_seen() {
+fn touched_memory_is_reported() {
     let before = resident_bytes();
     let held = vec![1u8; 32 << 20];
     let grown = resident_bytes().saturating_sub(before);
--- a/crates/node/src/memory/room.rs
+++ b/crates/node/src/memory/room.rs
@@ -1,4 +1,4 @@
-//! Waiting for room in an account, on the coroutine library's own timers.
+//! Waiting for free memory in an account, with the coroutine library's timers.
 use crate::clock::monotonic_ms;
 use crate::timers;
 use corkbay::Ms;
@@ -8,15 +8,16 @@
 use std::io::{self, ErrorKind};
 use std::time::Duration;
 
-/// The kind of error of what found no room.
+/// The kind of the I/O error for a reservation that did not fit in its account.
 pub const NO_ROOM: ErrorKind = ErrorKind::OutOfMemory;
 
-/// Resizes a reservation; waits for room as long as its purpose allows, and fails with [`NO_ROOM`] then.
+/// Resizes a reservation to `bytes`. If the account is full, waits as long as the purpose allows, then fails with
+/// [`NO_ROOM`].
 pub fn grow(held: &mut Reservation, purpose: Purpose, bytes: usize) -> io::Result<()> {
-    let began = monotonic_ms();
+    let started = monotonic_ms();
     loop {
         let Err(full) = held.resize(bytes) else { return Ok(()) };
-        let (asked, cap, waited) = (full.asked, full.cap, monotonic_ms() - began);
+        let (asked, cap, waited) = (full.asked, full.cap, monotonic_ms() - started);
         match decide(&Case { purpose, asked, cap, idle: 0, frees_in: None, waited }) {
             Decision::Wait { at_most } => wait(&full.account, asked, at_most),
             Decision::Evict { .. } | Decision::Refuse { .. } => return Err(NO_ROOM.into()),
@@ -24,9 +25,9 @@
     }
 }
 
-/// Waits until so many bytes may fit, for so long at most.
+/// Waits until `bytes` may fit in the account, at most `at_most` milliseconds.
 pub fn wait(account: &Account, bytes: usize, at_most: Ms) {
-    let (sender, room) = mpsc::channel();
-    let _turn = account.when_room(bytes, move || _ = sender.send(()));
-    let _ = timers::receive(&room, Duration::from_secs_f64(at_most.max(1.0) / 1000.0));
+    let (sender, free_memory) = mpsc::channel();
+    let _waiter = account.when_room(bytes, move || _ = sender.send(()));
+    let _ = timers::receive(&free_memory, Duration::from_secs_f64(at_most.max(1.0) / 1000.0));
 }
