--- a/crates/node/src/memory/counters.rs
+++ b/crates/node/src/memory/counters.rs
@@ -62,9 +62,9 @@
     pub malformed: Counter,
     /// Requests rejected because of overload or a drain.
     pub turned_away: Counter,
-    /// Those of them that were rejected because the process was behind schedule.
+    /// Those of them that were rejected because the process could not keep up with its work.
     pub turned_away_behind: Counter,
-    /// Times that the process fell behind schedule.
+    /// Number of times that the process began to lag behind its work.
     pub fell_behind: Counter,
     /// Operator calls that were accepted.
     pub operators_yes: Counter,
@@ -148,8 +148,8 @@
 
     /// Counts an unsuccessful attempt by its outcome.
     pub fn lost(&self, outcome: Outcome) {
-        if let Some(place) = OUTCOMES.iter().position(|entry| entry.0 == outcome) {
-            self.lost[place].add();
+        if let Some(index) = OUTCOMES.iter().position(|entry| entry.0 == outcome) {
+            self.lost[index].add();
         }
     }
 }
--- a/crates/node/src/memory/invocations.rs
+++ b/crates/node/src/memory/invocations.rs
@@ -58,7 +58,7 @@
 /// An accepted deferred call, with memory reserved for its final record.
 pub struct Promise {
     deferred: Deferred,
-    room: Reservation,
+    reservation: Reservation,
 }
 
 /// The result of looking up the idempotency key of a call.
@@ -179,8 +179,9 @@
 
     /// Reserves memory for the final record of a call that an earlier process accepted, even above the account's cap.
     pub fn promise_again(&self, deferred: &Deferred) -> Promise {
-        let room = self.store.ledger().owe(Purpose::DeferredFinal, self.max_answer_bytes.div_ceil(3) * 4);
-        Promise { deferred: deferred.clone(), room }
+        let reservation =
+            self.store.ledger().owe(Purpose::DeferredFinal, self.max_answer_bytes.div_ceil(3) * 4);
+        Promise { deferred: deferred.clone(), reservation }
     }
 
     /// Registers a call under its idempotency key, unless the key is in use. `until` is when the key expires, on the
@@ -233,20 +234,24 @@
         let node = self.store.node().len();
         let open_size = Record::size_of(key.len(), text) + node;
         let final_size = open_size + FINAL_OVERHEAD_BYTES + self.max_answer_bytes.div_ceil(3) * 4;
-        let room = self.store.reserve(Purpose::DeferredFinal, tenant, final_size)?;
+        let reservation = self.store.reserve(Purpose::DeferredFinal, tenant, final_size)?;
         let held = Some(self.store.reserve(Purpose::DeferredOpen, tenant, open_size)?);
         self.store.put(&mut Draft { key: &key, held, ..open })?;
-        Ok(Promise { deferred, room })
+        Ok(Promise { deferred, reservation })
     }
 
     /// Stores the final answer of a call. A call that certainly did not run releases its key, so that the client's next
     /// call with the key is run.
     pub fn finish(&self, id: RequestId, key: Option<&Key>, answer: &Answer, promise: Option<Promise>) {
-        if let Some(Promise { mut deferred, room }) = promise {
+        if let Some(Promise { mut deferred, reservation }) = promise {
             (deferred.answer, deferred.rerun) = (Some(answer.clone()), None);
             let key = key_of(id);
-            let mut final_draft =
-                Draft { key: &key, held: Some(room), may_exceed_cap: true, ..self.draft(&deferred, true) };
+            let mut final_draft = Draft {
+                key: &key,
+                held: Some(reservation),
+                may_exceed_cap: true,
+                ..self.draft(&deferred, true)
+            };
             let mut delays = STORE_RETRY_DELAYS_MS.iter();
             while let Err(error) = self.store.put(&mut final_draft) {
                 tracing::error!(invocation = %key, %error, "a final answer was not kept");
--- a/crates/node/src/memory/roster.rs
+++ b/crates/node/src/memory/roster.rs
@@ -197,7 +197,7 @@
     }
 
     /// Applies listings and returns them as a roster for the decision logic. If the list is complete (`whole`), workers that
-    /// it does not contain are marked as gone. `remembered` marks a list that was remembered instead of received.
+    /// it does not contain are marked as gone. `remembered` marks the last list of an earlier process.
     pub fn apply(&mut self, listings: Vec<Listing>, whole: bool, remembered: bool) -> Roster {
         let count = listings.len();
         let entries: Vec<RosterEntry> =
--- a/crates/node/src/memory/store/batch.rs
+++ b/crates/node/src/memory/store/batch.rs
@@ -67,7 +67,8 @@
             self.reserve_or_expire(expiry, purpose, || held.resize(size))?;
             return Ok(Prepared { record, held: None });
         }
-        // A version that is no larger than the current one is accepted even if the account is full.
+        // An update that is no larger than the current version, or that must not fail, is accepted even if the account
+        // is full.
         let may_exceed_cap = old_size.is_some_and(|old_size| draft.may_exceed_cap || size <= old_size);
         let held = if may_exceed_cap {
             self.ledger.owe(purpose, size)
--- a/crates/node/src/memory/store/draft.rs
+++ b/crates/node/src/memory/store/draft.rs
@@ -26,7 +26,7 @@
     pub writers: Writers,
     /// Memory reserved for it in advance.
     pub held: Option<Reservation>,
-    /// Whether it is written even if its account is full, for example to drain a worker.
+    /// Whether a new version of an existing key is written even if its account is full, for example to drain a worker.
     pub may_exceed_cap: bool,
 }
 
