--- a/crates/node/src/wire/http_workers.rs
+++ b/crates/node/src/wire/http_workers.rs
@@ -1,10 +1,10 @@
-//! Workers that speak the invoke API themselves, called in either of its styles: the exchange is held
-//! until the answer comes, or handed over and collected later.
+//! Workers that serve the invoke API themselves, called in either of its styles: the connection is held until the answer
+//! comes, or the worker accepts the call at once and the answer is collected later.
 use super::http::ResponseHead;
 use super::intake::{Intake, CHUNK};
 use super::invoke::{DEADLINE_HEADER, MAY_HAVE_RUN_HEADER};
 use super::socket::Socket;
-use super::workers::{broken, PARTIAL};
+use super::workers::{unanswered_error, PARTIAL_MESSAGE_TIMEOUT};
 use crate::core::{
     lock, monotonic_ms, until, AttemptError, Call, CancelNotice, Cause, Ending, Exchange, Verdict, Workers,
 };
@@ -22,59 +22,62 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What an attempt takes: the stack of its task as far as it is touched, a chunk, its request.
+/// Memory that one attempt is charged for beside its body: the touched part of the stack of its task, a read chunk and
+/// the head of its request.
 const ATTEMPT_BYTES: usize = 16 << 10;
-/// Longest time for which one call to collect is held.
+/// Longest time that one request to collect an answer asks the worker to wait.
 const COLLECT_WAIT: Duration = Duration::from_secs(10);
-/// Pause between two calls to collect.
+/// Pause between two requests to collect an answer.
 const COLLECT_PAUSE: Duration = Duration::from_millis(50);
+/// Time without progress after which a write to a worker fails.
 const WRITE_STALL: Duration = Duration::from_secs(2);
 
-/// How an answer travels from a worker.
+/// How a worker returns its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Style {
-    /// On the exchange that carried the call.
+    /// In the response to the call.
     Held,
-    /// Collected later, from where the worker said.
+    /// Collected later, from the `Location` that the worker returned.
     Deferred,
 }
 
-/// Figures for these calls.
+/// Limits of the calls to HTTP workers.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// A connection not made by then has failed.
+    /// Connect timeout.
     pub connect: Duration,
-    /// Most attempts that are out at once.
+    /// Maximum number of attempts in flight.
     pub connections: usize,
-    /// Largest body of an answer, in bytes.
+    /// Maximum size of an answer's body, in bytes.
     pub answer: usize,
 }
 
-/// The way to workers that speak HTTP. Each call has a connection of its own: one that was kept and is
-/// closed by the worker under a call would look like a call that may have run.
+/// Client of workers that speak HTTP. Each call uses a new connection: if the worker closed a reused connection while a
+/// call is written, the call would have to be reported as one that may have run.
 pub struct HttpWorkers {
     style: Style,
     limits: Limits,
     account: Account,
-    out: Arc<AtomicUsize>,
+    in_flight: Arc<AtomicUsize>,
 }
 
-/// One attempt, shared by its task and its holder.
+/// One attempt, shared by its task and its [`HttpExchange`].
 struct Attempt {
     link: Mutex<Link<Ending>>,
     id: u64,
-    /// What to shut down, and where to call off, when the attempt is given up.
+    /// Shut down when the attempt is given up.
     socket: Mutex<Option<Arc<Socket>>>,
+    /// Path of the deferred call on the worker, for its cancellation when the attempt is given up.
     location: Mutex<Option<String>>,
 }
 
-/// The times of an attempt.
+/// Time limits of an attempt, in milliseconds of the monotonic clock.
 #[derive(Clone, Copy)]
 struct Times {
-    /// The client waits until then.
+    /// The client's deadline.
     expires: Ms,
-    /// It goes out until then or not at all.
-    by: Ms,
+    /// The request is not sent after this time.
+    send_by: Ms,
 }
 
 struct HttpExchange {
@@ -85,15 +88,15 @@
     notice: CancelNotice,
 }
 
-struct Answered {
+struct WorkerResponse {
     head: ResponseHead,
     body: Vec<u8>,
 }
 
 impl HttpWorkers {
-    /// Calls workers in that style; what attempts take counts on the account.
+    /// Creates a client that calls workers in the given style. Memory of the attempts is charged to the account.
     pub fn new(style: Style, limits: Limits, account: Account) -> Self {
-        HttpWorkers { style, limits, account, out: Arc::new(AtomicUsize::new(0)) }
+        HttpWorkers { style, limits, account, in_flight: Arc::new(AtomicUsize::new(0)) }
     }
 }
 
@@ -103,7 +106,7 @@
         host: &Arc<Host>,
         call: &Arc<Call>,
         expires: Ms,
-        by: Ms,
+        send_by: Ms,
         end: Ending,
     ) -> Box<dyn Exchange> {
         let id = call.request.id.0;
@@ -114,7 +117,7 @@
             location: Mutex::default(),
         });
         let refused = lock(&attempt.link).open(id, end).err();
-        debug_assert!(refused.is_none(), "a fresh link has room");
+        debug_assert!(refused.is_none(), "a new link admits an exchange");
         let (limits, account) = (self.limits, self.account.clone());
         let exchange = HttpExchange {
             attempt: attempt.clone(),
@@ -124,25 +127,25 @@
             notice: CancelNotice::default(),
         };
         let held = self.account.reserve(ATTEMPT_BYTES + call.body.len());
-        let crowded = self.out.fetch_add(1, Ordering::Relaxed) >= self.limits.connections;
-        let (Ok(held), false) = (held, crowded) else {
-            self.out.fetch_sub(1, Ordering::Relaxed);
+        let is_full = self.in_flight.fetch_add(1, Ordering::Relaxed) >= self.limits.connections;
+        let (Ok(held), false) = (held, is_full) else {
+            self.in_flight.fetch_sub(1, Ordering::Relaxed);
             attempt.settle(Err(AttemptError::Unfinished(Cause::Barred)));
             return Box::new(exchange);
         };
-        let intake = Intake::new(&self.account, Purpose::Workers);
-        let (style, limits, out) = (self.style, self.limits, self.out.clone());
+        let receive_buffer = Intake::new(&self.account, Purpose::Workers);
+        let (style, limits, in_flight) = (self.style, self.limits, self.in_flight.clone());
         let (host, call) = (host.clone(), call.clone());
         spawn(move || {
-            let _end = EndGuard(attempt.clone(), out);
-            let end = attempt.run(&host, &call, Times { expires, by }, style, &limits, intake);
+            let _guard = EndGuard(attempt.clone(), in_flight);
+            let end = attempt.run(&host, &call, Times { expires, send_by }, style, &limits, receive_buffer);
             drop(held);
             attempt.settle(end);
         });
         Box::new(exchange)
     }
 
-    /// These workers load by themselves; nothing is ordered of them.
+    /// Always fails: HTTP workers load models by themselves and accept no load orders.
     fn load(&self, _: &Arc<Host>, _: ModelId, _: u32, _: Ms, _: Duration) -> (Result<(), AttemptError>, u32) {
         (Err(AttemptError::Answered(Verdict::Failed)), 0)
     }
@@ -158,7 +161,7 @@
     }
 }
 
-/// Ends an attempt however its task ends.
+/// Ends an attempt when its task ends, also by a panic.
 struct EndGuard(Arc<Attempt>, Arc<AtomicUsize>);
 
 impl Drop for EndGuard {
@@ -166,13 +169,13 @@
         self.1.fetch_sub(1, Ordering::Relaxed);
         let open = lock(&self.0.link).close();
         for (stage, end) in open {
-            end(Err(broken(stage, Cause::Broken)));
+            end(Err(unanswered_error(stage, Cause::Broken)));
         }
     }
 }
 
 impl Attempt {
-    /// Tells the end, unless the attempt was given up before.
+    /// Reports the result, unless the attempt was given up before.
     fn settle(&self, end: Result<Vec<u8>, AttemptError>) {
         let waiter = lock(&self.link).give_up(self.id);
         if let Some((_, waiter)) = waiter {
@@ -180,18 +183,18 @@
         }
     }
 
-    /// The life of an attempt, in both styles.
+    /// Runs an attempt from connecting to its result, in both styles.
     fn run(
         &self,
         host: &Host,
         call: &Call,
-        Times { expires, by }: Times,
+        Times { expires, send_by }: Times,
         style: Style,
         limits: &Limits,
-        mut intake: Intake,
+        mut receive_buffer: Intake,
     ) -> Result<Vec<u8>, AttemptError> {
         let socket = self.connect(host, limits.connect)?;
-        if host.barred() || monotonic_ms() > by {
+        if host.barred() || monotonic_ms() > send_by {
             return Err(AttemptError::Unfinished(Cause::Barred));
         }
         if !lock(&self.link).begin(self.id) {
@@ -200,10 +203,10 @@
         let request = post(host, call, expires, style);
         socket.write(&request).map_err(|_| AttemptError::Unfinished(Cause::Broken))?;
         lock(&self.link).whole(self.id);
-        let mut answered = receive(&socket, expires, &mut intake, limits.answer)
+        let mut response = receive(&socket, expires, &mut receive_buffer, limits.answer)
             .map_err(|e| AttemptError::Unanswered(cause(&e)))?;
         drop(socket);
-        while let Some(location) = place(&answered, style) {
+        while let Some(location) = collect_location(&response, style) {
             if lock(&self.link).is_closed() {
                 return Err(AttemptError::Unanswered(Cause::GivenUp));
             }
@@ -218,14 +221,14 @@
             );
             let exchange = socket
                 .write(request.as_bytes())
-                .and_then(|()| receive(&socket, expires, &mut intake, limits.answer));
-            answered = exchange.map_err(|error| AttemptError::Unanswered(cause(&error)))?;
-            // A worker that does not hold the call is not called in a tight loop.
-            if place(&answered, style).is_some() {
+                .and_then(|()| receive(&socket, expires, &mut receive_buffer, limits.answer));
+            response = exchange.map_err(|error| AttemptError::Unanswered(cause(&error)))?;
+            // Avoids a tight loop when the worker ignores `Prefer: wait` and answers at once.
+            if collect_location(&response, style).is_some() {
                 timers::sleep(COLLECT_PAUSE);
             }
         }
-        judge(answered)
+        result_of(response)
     }
 
     fn connect(&self, host: &Host, within: Duration) -> Result<Arc<Socket>, AttemptError> {
@@ -251,29 +254,30 @@
         let held = self.account.reserve(ATTEMPT_BYTES);
         if let (Some(location), Ok(held)) = (location, held) {
             let (host, limits, notice) = (self.host.clone(), self.limits, self.notice.clone());
-            let mut intake = Intake::new(&self.account, Purpose::Workers);
+            let mut receive_buffer = Intake::new(&self.account, Purpose::Workers);
             spawn(move || {
-                // As good as the worker can be told; nothing hangs on it.
+                // Best effort: nothing depends on whether the cancellation succeeds.
                 let request = format!(
                     "DELETE {location} HTTP/1.1\r\nHost: {}\r\nConnection: close\r\n\r\n",
                     host.address
                 );
-                let told = Socket::connect(&host.address, limits.connect, WRITE_STALL).and_then(|socket| {
-                    socket.write(request.as_bytes())?;
-                    receive(
-                        &socket,
-                        monotonic_ms() + WRITE_STALL.as_millis() as Ms,
-                        &mut intake,
-                        limits.answer,
-                    )
-                });
-                if let Err(error) = told {
+                let cancelled =
+                    Socket::connect(&host.address, limits.connect, WRITE_STALL).and_then(|socket| {
+                        socket.write(request.as_bytes())?;
+                        receive(
+                            &socket,
+                            monotonic_ms() + WRITE_STALL.as_millis() as Ms,
+                            &mut receive_buffer,
+                            limits.answer,
+                        )
+                    });
+                if let Err(error) = cancelled {
                     tracing::warn!(worker = %host.name, %error, "not called off");
                 }
                 drop((held, notice));
             });
         }
-        Some(broken(stage, cause))
+        Some(unanswered_error(stage, cause))
     }
 
     fn cancel_notice(&self) -> &CancelNotice {
@@ -308,45 +312,55 @@
     bytes
 }
 
-/// Reads a response whole, waiting for its begin until then; its body holds so many bytes at most.
-fn receive(socket: &Socket, expires: Ms, intake: &mut Intake, most: usize) -> io::Result<Answered> {
-    let (mut chunk, mut begun) = (vec![0; CHUNK], false);
-    intake.bytes().clear();
-    let mut fill = |intake: &mut Intake| {
-        let size = intake.fill(socket, &mut chunk, if begun { PARTIAL } else { until(expires) })?;
-        begun = true;
+/// Reads a whole response whose first byte has to come before `expires` and whose body has `max_body_bytes` bytes at most.
+fn receive(
+    socket: &Socket,
+    expires: Ms,
+    receive_buffer: &mut Intake,
+    max_body_bytes: usize,
+) -> io::Result<WorkerResponse> {
+    let (mut chunk, mut has_begun) = (vec![0; CHUNK], false);
+    receive_buffer.bytes().clear();
+    let mut fill = |receive_buffer: &mut Intake| {
+        let size = receive_buffer.fill(
+            socket,
+            &mut chunk,
+            if has_begun { PARTIAL_MESSAGE_TIMEOUT } else { until(expires) },
+        )?;
+        has_begun = true;
         Ok::<_, io::Error>(size)
     };
     let mut head = loop {
-        match ResponseHead::decode(intake.bytes()).map_err(io::Error::other)? {
+        match ResponseHead::decode(receive_buffer.bytes()).map_err(io::Error::other)? {
             Some(head) => break head,
-            None if fill(intake)? == 0 => return Err(io::ErrorKind::UnexpectedEof.into()),
+            None if fill(receive_buffer)? == 0 => return Err(io::ErrorKind::UnexpectedEof.into()),
             None => {}
         }
     };
     let mut body = Vec::new();
-    while !head.body.feed(intake.bytes(), &mut body, most).map_err(io::Error::other)? {
-        intake.beside(body.capacity())?;
-        if fill(intake)? == 0 {
-            // A body of no told length can't be told from one that was cut off.
+    while !head.body.feed(receive_buffer.bytes(), &mut body, max_body_bytes).map_err(io::Error::other)? {
+        receive_buffer.beside(body.capacity())?;
+        if fill(receive_buffer)? == 0 {
+            // The end of a body without a declared length can't be distinguished from a truncated body.
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
     }
-    Ok(Answered { head, body })
+    Ok(WorkerResponse { head, body })
 }
 
-/// Where the answer is to be collected, if it is not there yet.
-fn place(answered: &Answered, style: Style) -> Option<String> {
-    let location = answered.head.headers.get("location")?;
+/// The path from which the answer is to be collected, if the response accepts the call for later.
+fn collect_location(response: &WorkerResponse, style: Style) -> Option<String> {
+    let location = response.head.headers.get("location")?;
     let plain = location.starts_with('/') && location.bytes().all(|byte| byte.is_ascii_graphic());
-    (style == Style::Deferred && answered.head.status == 202 && plain).then(|| location.to_string())
+    (style == Style::Deferred && response.head.status == 202 && plain).then(|| location.to_string())
 }
 
-/// What a worker's response says of the attempt. Without its word that nothing ran, it may have run.
-fn judge(answered: Answered) -> Result<Vec<u8>, AttemptError> {
-    let not_run = answered.head.headers.get(MAY_HAVE_RUN_HEADER) == Some("false");
-    match answered.head.status {
-        200 => Ok(answered.body),
+/// The result of an attempt, from the worker's response. Unless the response states that the call did not run, it may
+/// have run.
+fn result_of(response: WorkerResponse) -> Result<Vec<u8>, AttemptError> {
+    let not_run = response.head.headers.get(MAY_HAVE_RUN_HEADER) == Some("false");
+    match response.head.status {
+        200 => Ok(response.body),
         404 if not_run => Err(AttemptError::Answered(Verdict::Miss)),
         410 if not_run => Err(AttemptError::Answered(Verdict::Over)),
         _ if not_run => Err(AttemptError::Answered(Verdict::Full)),
--- a/crates/node/src/wire/workers.rs
+++ b/crates/node/src/wire/workers.rs
@@ -1,4 +1,5 @@
-//! Worker connections that carry binary frames: many exchanges on one connection, in any order.
+//! Worker connections that carry binary frames: many exchanges are multiplexed on one connection and
+//! may be answered in any order.
 mod connection;
 
 use super::frames::{code, Frame};
@@ -9,7 +10,7 @@
 use crate::memory::link::Stage;
 use crate::memory::roster::Host;
 use crate::timers;
-use connection::{Connection, Out, Outgoing, Recipients, Waiter};
+use connection::{Connection, OutgoingFrame, Recipients, Waiter, WriterMessage};
 use corkbay::{ModelId, Ms, WorkerId};
 use corkbay_ledger::{Account, Purpose};
 use may::sync::mpsc::channel;
@@ -20,36 +21,37 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-pub(super) use connection::broken;
-pub use connection::PARTIAL;
+pub(super) use connection::unanswered_error;
+pub use connection::PARTIAL_MESSAGE_TIMEOUT;
 
-/// What a connection takes: the stacks of its two tasks as far as they are touched, a chunk, its places in
-/// tables.
+/// Memory that one connection is charged for: the touched part of the stacks of its two tasks, a read chunk and its
+/// table entries.
 const CONNECTION_BYTES: usize = 22 << 10;
 
-/// Figures for connections to workers.
+/// Limits of the connections to workers.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Exchanges that one connection carries at once.
+    /// Maximum number of concurrent exchanges on one connection.
     pub streams: usize,
-    /// A connection not made by then has failed.
+    /// Connect timeout.
     pub connect: Duration,
-    /// An idle connection is closed after this.
+    /// Time after which an idle connection is closed.
     pub idle: Duration,
-    /// Most connections in all.
+    /// Maximum number of connections to all workers together.
     pub connections: usize,
-    /// Largest body of an answer, in bytes.
+    /// Maximum size of an answer's body, in bytes.
     pub answer: usize,
-    /// Whether workers may be told that an attempt is given up.
+    /// Whether a cancel command is sent to the worker when an attempt is given up.
     pub cancels: bool,
 }
 
-/// Connections at a time that end to make room for others, beyond the budgets: what they hold is free once they have
-/// ended.
-const MOST_ENDING: usize = 16;
+/// Maximum number of evicted connections that have not ended yet. Their memory and descriptors are freed only when they
+/// have ended, so the connections that replace them exceed the budgets by up to this number.
+const MAX_EVICTING_CONNECTIONS: usize = 16;
 
-/// One part in so many of the account is kept from idle connections for orders and answers.
-const KEPT_PART: usize = 8;
+/// When less than one part in this many of the account is free, a new connection evicts an idle one, so that
+/// idle connections leave memory for load orders and answers.
+const RESERVED_DIVISOR: usize = 8;
 
 /// The connections to one worker.
 type Pool = Vec<Arc<Connection>>;
@@ -57,17 +59,17 @@
 /// The connections to all workers.
 type Pools = HashMap<(WorkerId, SocketAddr), Pool>;
 
-/// The pools, by worker and address.
+/// The connection pools, by worker and address.
 pub struct FrameWorkers {
     limits: Limits,
     account: Account,
     pools: Mutex<Pools>,
     connections: Arc<AtomicUsize>,
-    /// Those of them that end to make room for others.
-    ending: Arc<AtomicUsize>,
-    /// Most connections in all.
-    most: AtomicUsize,
-    order: AtomicU64,
+    /// Number of evicted connections that have not ended yet.
+    evicting: Arc<AtomicUsize>,
+    /// Maximum number of connections to all workers together.
+    max_connections: AtomicUsize,
+    next_order_id: AtomicU64,
     dials: Arc<Dials>,
 }
 
@@ -79,92 +81,95 @@
 }
 
 impl FrameWorkers {
-    /// No connections yet; what they will take counts on the account.
+    /// Creates the pools without connections. Memory of the connections is charged to the account.
     pub fn new(limits: Limits, account: Account) -> Self {
         FrameWorkers {
             limits,
             account,
             pools: Mutex::new(HashMap::new()),
             connections: Arc::new(AtomicUsize::new(0)),
-            ending: Arc::new(AtomicUsize::new(0)),
-            most: AtomicUsize::new(limits.connections),
-            order: AtomicU64::new(1 << 62),
+            evicting: Arc::new(AtomicUsize::new(0)),
+            max_connections: AtomicUsize::new(limits.connections),
+            next_order_id: AtomicU64::new(1 << 62),
             dials: Arc::default(),
         }
     }
 
-    /// Holds so many connections at most from now on; those beyond that end when they are idle.
+    /// Sets the maximum number of connections. Connections beyond it are closed when they are idle.
     pub fn set_most(&self, most: usize) {
-        self.most.store(most, Ordering::Relaxed);
+        self.max_connections.store(most, Ordering::Relaxed);
     }
 
-    /// Puts a frame on a connection to the host, a new one where none has room. With a waiter, the
-    /// frame opens an exchange there.
-    fn open(
+    /// Queues a frame on a connection to the host; opens a connection where no healthy one has a free exchange, and
+    /// falls back to a suspect one where none can be opened. With a waiter, the frame opens an exchange.
+    fn enqueue(
         &self,
         host: &Arc<Host>,
         frame: Frame,
         recipients: Recipients,
-        by: Ms,
+        send_by: Ms,
         expires: Option<Ms>,
         mut waiter: Option<Waiter>,
     ) -> Option<Arc<Connection>> {
-        let is_tracked = waiter.is_some();
-        let barred = |waiter: Option<Waiter>| {
+        let expects_answer = waiter.is_some();
+        let fail_barred = |waiter: Option<Waiter>| {
             waiter.into_iter().for_each(|waiter| waiter(Err(AttemptError::Unfinished(Cause::Barred))));
         };
         if recipients.excludes(host) {
-            barred(waiter);
+            fail_barred(waiter);
             return None;
         }
         let pools = &mut *lock(&self.pools);
         let key = (host.id, host.address);
-        let mut enlist = |connection: &Arc<Connection>| {
+        let mut try_register = |connection: &Arc<Connection>| {
             let mut link = lock(&connection.link);
-            let fits = if is_tracked { link.admits(frame.id) } else { !link.is_closed() };
+            let fits = if expects_answer { link.admits(frame.id) } else { !link.is_closed() };
             if fits {
-                connection.used();
+                connection.mark_used();
                 waiter = waiter.take().and_then(|waiter| link.open(frame.id, waiter).err());
             }
             fits
         };
         let pool = pools.get(&key).map(Vec::as_slice).unwrap_or_default();
-        let sound = pool.iter().find(|connection| !connection.is_suspect() && enlist(connection)).cloned();
-        let fresh = sound.or_else(|| {
-            let fresh = self.dial(host, pools)?;
-            enlist(&fresh);
+        let healthy =
+            pool.iter().find(|connection| !connection.is_suspect() && try_register(connection)).cloned();
+        let usable = healthy.or_else(|| {
+            let fresh = self.open_connection(host, pools)?;
+            try_register(&fresh);
             pools.entry(key).or_default().push(fresh.clone());
             Some(fresh)
         });
         let pool = pools.get(&key).map(Vec::as_slice).unwrap_or_default();
-        let connection = fresh.or_else(|| pool.iter().find(|connection| enlist(connection)).cloned());
+        let connection = usable.or_else(|| pool.iter().find(|connection| try_register(connection)).cloned());
         match &connection {
             Some(connection) => {
-                let _ = connection.outbox.send(Out::Frame(Outgoing {
+                let _ = connection.outbox.send(WriterMessage::Frame(OutgoingFrame {
                     frame,
-                    is_tracked,
+                    expects_answer,
                     recipients,
-                    by,
+                    send_by,
                     expires,
                     notice: None,
                 }));
             }
-            None => barred(waiter),
+            None => fail_barred(waiter),
         }
         connection
     }
 
-    /// A new connection, as far as the budgets of descriptors and memory go; it is made in a task of its own. Where they
-    /// are used up, the one that is idle for longest ends for it.
-    fn dial(&self, host: &Arc<Host>, pools: &mut Pools) -> Option<Arc<Connection>> {
+    /// Starts a new connection in a task of its own, within the budgets of descriptors and memory. When a budget is
+    /// exhausted, the connection that has been idle longest is evicted first; `None` where none can be.
+    fn open_connection(&self, host: &Arc<Host>, pools: &mut Pools) -> Option<Arc<Connection>> {
         pools.retain(|_, pool| {
             pool.retain(|connection| !lock(&connection.link).is_closed());
             !pool.is_empty()
         });
         let held = self.account.reserve(CONNECTION_BYTES);
-        let is_full = self.connections.load(Ordering::Relaxed) >= self.most.load(Ordering::Relaxed);
-        let crowds_out = self.account.used() > self.account.cap() / KEPT_PART * (KEPT_PART - 1);
-        let made_room = (held.is_err() || is_full || crowds_out) && self.close_longest_idle(pools);
+        let is_full =
+            self.connections.load(Ordering::Relaxed) >= self.max_connections.load(Ordering::Relaxed);
+        let is_memory_low =
+            self.account.used() > self.account.cap() / RESERVED_DIVISOR * (RESERVED_DIVISOR - 1);
+        let made_room = (held.is_err() || is_full || is_memory_low) && self.evict_longest_idle(pools);
         if (held.is_err() || is_full) && !made_room {
             return None;
         }
@@ -175,78 +180,80 @@
         let slot = ConnectionSlot {
             connection: connection.clone(),
             connections: self.connections.clone(),
-            ending: self.ending.clone(),
+            evicting: self.evicting.clone(),
         };
-        let (host, limits, ours, dials) = (host.clone(), self.limits, connection.clone(), self.dials.clone());
-        let intake = Intake::new(&self.account, Purpose::Workers);
+        let (host, limits, task_connection, dials) =
+            (host.clone(), self.limits, connection.clone(), self.dials.clone());
+        let receive_buffer = Intake::new(&self.account, Purpose::Workers);
         spawn(move || {
-            ours.run(&host, &limits, &dials, &queue, intake);
+            task_connection.run(&host, &limits, &dials, &queue, receive_buffer);
             drop((slot, held));
         });
         Some(connection)
     }
 
-    /// Ends the connection on which nothing is open for longest; false where there is none, or too many are ending.
-    fn close_longest_idle(&self, pools: &Pools) -> bool {
-        if self.ending.load(Ordering::Relaxed) >= MOST_ENDING {
+    /// Evicts the connection that has been idle longest. False when none is idle, or when
+    /// [`MAX_EVICTING_CONNECTIONS`] evicted connections have not ended yet.
+    fn evict_longest_idle(&self, pools: &Pools) -> bool {
+        if self.evicting.load(Ordering::Relaxed) >= MAX_EVICTING_CONNECTIONS {
             return false;
         }
         let idle = pools.values().flatten().filter(|connection| lock(&connection.link).is_idle());
-        let Some(longest) = idle.min_by_key(|connection| connection.last_used()) else { return false };
-        let gives_way = longest.give_way();
-        self.ending.fetch_add(usize::from(gives_way), Ordering::Relaxed);
-        gives_way
+        let Some(longest) = idle.min_by_key(|connection| connection.last_used_ms()) else { return false };
+        let is_evicted = longest.evict_if_idle();
+        self.evicting.fetch_add(usize::from(is_evicted), Ordering::Relaxed);
+        is_evicted
     }
 
-    /// Sends a command and waits for the frame that answers it.
-    fn ask(
+    /// Sends a command and waits for the frame that answers it, for `within` at most.
+    fn send_and_wait(
         &self,
         host: &Arc<Host>,
         frame: Frame,
         recipients: Recipients,
-        by: Ms,
+        send_by: Ms,
         within: Duration,
     ) -> Result<Frame, AttemptError> {
         let id = frame.id;
         let (sender, answer) = channel();
         let waiter: Waiter = Box::new(move |end| _ = sender.send(end));
-        let connection = self.open(host, frame, recipients, by, None, Some(waiter));
+        let connection = self.enqueue(host, frame, recipients, send_by, None, Some(waiter));
         match timers::receive(&answer, within) {
             Ok(end) => end,
             Err(_) => {
                 let given_up = connection.and_then(|connection| lock(&connection.link).give_up(id));
-                let error = given_up.map(|(stage, _)| broken(stage, Cause::Silent));
+                let error = given_up.map(|(stage, _)| unanswered_error(stage, Cause::Silent));
                 Err(error.unwrap_or(AttemptError::Unanswered(Cause::Silent)))
             }
         }
     }
 
-    fn order_id(&self) -> u64 {
-        self.order.fetch_add(1, Ordering::Relaxed)
+    fn next_order_id(&self) -> u64 {
+        self.next_order_id.fetch_add(1, Ordering::Relaxed)
     }
 }
 
-/// A connection's slot in the budget, given back when its task ends in any way.
+/// A connection's slot in the budget; released when the task of the connection ends, also by a panic.
 struct ConnectionSlot {
     connection: Arc<Connection>,
     connections: Arc<AtomicUsize>,
-    ending: Arc<AtomicUsize>,
+    evicting: Arc<AtomicUsize>,
 }
 
 impl Drop for ConnectionSlot {
     fn drop(&mut self) {
         self.connections.fetch_sub(1, Ordering::Relaxed);
-        if self.connection.gave_way() {
-            self.ending.fetch_sub(1, Ordering::Relaxed);
+        if self.connection.is_evicted() {
+            self.evicting.fetch_sub(1, Ordering::Relaxed);
         }
     }
 }
 
-/// What an answer says to a command that `good` answers where all went well. Whatever does not belong to
-/// such a command tells nothing of it.
-fn verdict(frame: Frame, good: u8) -> Result<Frame, AttemptError> {
+/// Converts the answer to a command whose success code is `good` into a result. A success code of another command
+/// leaves the outcome unknown.
+fn check_answer(frame: Frame, expected_code: u8) -> Result<Frame, AttemptError> {
     match frame.code {
-        code if code == good => Ok(frame),
+        code if code == expected_code => Ok(frame),
         code::OK | code::ALIVE => Err(AttemptError::Unanswered(Cause::Broken)),
         code::MISS => Err(AttemptError::Answered(Verdict::Miss)),
         code::FULL => Err(AttemptError::Answered(Verdict::Full)),
@@ -261,16 +268,16 @@
         let (stage, _) = lock(&connection.link).give_up(self.id)?;
         if stage != Stage::Queued && self.cancels {
             let frame = Frame::command(code::GIVE_UP, self.id, String::new(), Vec::new());
-            let _ = connection.outbox.send(Out::Frame(Outgoing {
+            let _ = connection.outbox.send(WriterMessage::Frame(OutgoingFrame {
                 frame,
-                is_tracked: false,
-                recipients: Recipients::GiveUp,
-                by: Ms::INFINITY,
+                expects_answer: false,
+                recipients: Recipients::Cancel,
+                send_by: Ms::INFINITY,
                 expires: None,
                 notice: Some(self.notice.clone()),
             }));
         }
-        Some(broken(stage, cause))
+        Some(unanswered_error(stage, cause))
     }
 
     fn cancel_notice(&self) -> &CancelNotice {
@@ -284,7 +291,7 @@
         host: &Arc<Host>,
         call: &Arc<Call>,
         expires: Ms,
-        by: Ms,
+        send_by: Ms,
         end: Ending,
     ) -> Box<dyn Exchange> {
         let mut fields = format!("kind={},obj={:016x}", call.class_name, call.request.model.0);
@@ -294,9 +301,9 @@
         }
         let frame = Frame::command(code::REQUEST, call.request.id.0, fields, call.body.clone());
         let waiter: Waiter = Box::new(move |answer| {
-            end(answer.and_then(|frame| verdict(frame, code::OK)).map(|frame| frame.body))
+            end(answer.and_then(|frame| check_answer(frame, code::OK)).map(|frame| frame.body))
         });
-        let connection = self.open(host, frame, Recipients::Work, by, Some(expires), Some(waiter));
+        let connection = self.enqueue(host, frame, Recipients::Work, send_by, Some(expires), Some(waiter));
         let (id, cancels) = (call.request.id.0, self.limits.cancels);
         Box::new(FrameExchange { connection, id, cancels, notice: CancelNotice::default() })
     }
@@ -306,18 +313,23 @@
         host: &Arc<Host>,
         model: ModelId,
         copies: u32,
-        by: Ms,
+        send_by: Ms,
         within: Duration,
     ) -> (Result<(), AttemptError>, u32) {
         let fields = format!("obj={:016x},replicas={copies}", model.0);
-        let frame = Frame::command(code::LOAD, self.order_id(), fields, Vec::new());
-        match self.ask(host, frame, if copies > 0 { Recipients::Work } else { Recipients::Query }, by, within)
-        {
-            // An order that fails tells as well how many copies stand.
+        let frame = Frame::command(code::LOAD, self.next_order_id(), fields, Vec::new());
+        match self.send_and_wait(
+            host,
+            frame,
+            if copies > 0 { Recipients::Work } else { Recipients::Query },
+            send_by,
+            within,
+        ) {
+            // The answer to a failed order also carries the number of loaded copies.
             Ok(frame) => {
-                let standing = frame.field("replicas").and_then(|count| count.parse().ok());
-                let end = verdict(frame, code::OK).map(|_| ());
-                (end, standing.unwrap_or(if end.is_ok() { copies } else { 0 }))
+                let loaded_copies = frame.field("replicas").and_then(|count| count.parse().ok());
+                let end = check_answer(frame, code::OK).map(|_| ());
+                (end, loaded_copies.unwrap_or(if end.is_ok() { copies } else { 0 }))
             }
             Err(error) => (Err(error), 0),
         }
@@ -325,7 +337,7 @@
 
     fn evict(&self, host: &Arc<Host>, model: ModelId) {
         let frame = Frame::command(code::EVICT, model.0, String::new(), Vec::new());
-        self.open(host, frame, Recipients::Query, Ms::INFINITY, None, None);
+        self.enqueue(host, frame, Recipients::Query, Ms::INFINITY, None, None);
     }
 
     fn dials(&self) -> Arc<Dials> {
@@ -333,9 +345,9 @@
     }
 
     fn probe(&self, host: &Arc<Host>, within: Duration) -> Result<(), AttemptError> {
-        let frame = Frame::command(code::PROBE, self.order_id(), String::new(), Vec::new());
-        self.ask(host, frame, Recipients::Query, Ms::INFINITY, within)
-            .and_then(|frame| verdict(frame, code::ALIVE))
+        let frame = Frame::command(code::PROBE, self.next_order_id(), String::new(), Vec::new());
+        self.send_and_wait(host, frame, Recipients::Query, Ms::INFINITY, within)
+            .and_then(|frame| check_answer(frame, code::ALIVE))
             .map(|_| ())
     }
 }
--- a/crates/node/src/wire/workers/connection.rs
+++ b/crates/node/src/wire/workers/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a worker: a task that makes it and writes, and one that reads.
+//! One connection to a worker: one task connects and writes, another reads.
 use super::Limits;
 use crate::core::{lock, monotonic_ms, until, AttemptError, CancelNotice, Cause};
 use crate::life::spawn;
@@ -20,29 +20,30 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Longest time for which a worker may stop reading while a frame is written to it.
+/// Time without progress after which a write to a worker fails.
 const WRITE_STALL: Duration = Duration::from_secs(2);
-/// A worker with nothing to say may be silent for as long as it likes: its idle connections are closed by
-/// the writing side.
-const QUIET: Duration = Duration::from_secs(60);
-/// A frame that has begun comes whole within this, or the connection is of no further use to anybody on it.
-pub const PARTIAL: Duration = Duration::from_millis(300);
-/// A connection on which something waits and nothing was heard for so long is passed over while another can be
-/// had: an answer that never comes leaves all that follows it on its connection without one.
-const SUSPECT_MS: Ms = 250.0;
+/// Timeout of one read while no frame has begun. The reader then reads again: a worker may be silent, and idle
+/// connections are closed by the writer.
+const IDLE_READ_TIMEOUT: Duration = Duration::from_secs(60);
+/// Longest wait for the next bytes of a message that has begun. After it the connection is closed, as no later
+/// message on it can be read.
+pub const PARTIAL_MESSAGE_TIMEOUT: Duration = Duration::from_millis(300);
+/// A connection with an unanswered exchange that received nothing for this long is used only when no other is
+/// available: a worker that stops answering on a connection leaves all later exchanges on it unanswered.
+const SUSPECT_AFTER_MS: Ms = 250.0;
 
-/// Told once how an exchange ended.
+/// Called once with the result of an exchange.
 pub(super) type Waiter = Box<dyn FnOnce(Result<Frame, AttemptError>) + Send>;
 
-/// Which workers a frame may still be written to.
+/// Which workers a frame may be written to; checked again when it is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Recipients {
-    /// New work: to those that take some.
+    /// New work: only to workers that accept it.
     Work,
-    /// A question or an unloading: to all that are not held out by the operators.
+    /// A probe or an order to unload: to all workers that the operators have not suspended.
     Query,
-    /// The giving up of what is out: to all.
-    GiveUp,
+    /// The cancellation of an attempt in flight: to all workers.
+    Cancel,
 }
 
 impl Recipients {
@@ -50,116 +51,121 @@
         match self {
             Recipients::Work => host.barred() || host.suspended(),
             Recipients::Query => host.suspended(),
-            Recipients::GiveUp => false,
+            Recipients::Cancel => false,
         }
     }
 }
 
-/// One frame on its way out.
-pub(super) struct Outgoing {
+/// One frame that is queued for writing.
+pub(super) struct OutgoingFrame {
     pub frame: Frame,
-    /// Somebody waits for an answer to it.
-    pub is_tracked: bool,
+    /// Whether the frame belongs to an exchange that is open on the connection.
+    pub expects_answer: bool,
     pub recipients: Recipients,
-    /// It goes out by then or not at all.
-    pub by: Ms,
-    /// For a request, when its client stops waiting: its worker is told what is left of that as it goes out.
+    /// Not written after this time, in milliseconds of the monotonic clock.
+    pub send_by: Ms,
+    /// For a request, the client's deadline in milliseconds of the monotonic clock: the time left is added to the
+    /// fields when the frame is written.
     pub expires: Option<Ms>,
-    /// What else it carries, until it is written or lost.
+    /// Dropped when the frame is written or lost, which marks a cancel command as sent.
     pub notice: Option<CancelNotice>,
 }
 
-/// What reaches the writer of a connection.
-pub(super) enum Out {
-    Frame(Outgoing),
+/// A message to the writer of a connection.
+pub(super) enum WriterMessage {
+    Frame(OutgoingFrame),
     Stop,
 }
 
 /// A connection to a worker with the exchanges that are open on it.
 pub(super) struct Connection {
     pub link: Mutex<Link<Waiter>>,
-    pub outbox: Sender<Out>,
-    /// When something was first waited for since the worker was last heard here; 0 while nothing is.
-    quiet_since: AtomicU64,
-    /// When something was last sent here, in milliseconds of the monotonic clock.
-    last_used: AtomicU64,
-    /// It ends to make room for another.
-    gave_way: AtomicBool,
+    pub outbox: Sender<WriterMessage>,
+    /// When the wait for the worker began: the later of its last frame and the first unanswered one, in milliseconds
+    /// of the monotonic clock; 0 while no exchange is open.
+    silent_since_ms: AtomicU64,
+    /// When a frame was last queued, in milliseconds of the monotonic clock.
+    last_used_ms: AtomicU64,
+    /// Whether it was closed to make room for another connection.
+    is_evicted: AtomicBool,
 }
 
-/// What is known of an attempt that ended without an answer at that stage.
-pub(in crate::wire) fn broken(stage: Stage, cause: Cause) -> AttemptError {
+/// The error of an attempt that ended without an answer at that stage.
+pub(in crate::wire) fn unanswered_error(stage: Stage, cause: Cause) -> AttemptError {
     match stage {
         Stage::Queued => AttemptError::Unfinished(cause),
-        // Whoever reads can't tell whether the last byte was out: only the writer knows that it was not.
+        // The reader can't tell whether the last byte was written; only the writer knows when it was not.
         Stage::Writing | Stage::Whole => AttemptError::Unanswered(cause),
     }
 }
 
-fn expected(code: u8) -> bool {
+fn is_answer_code(code: u8) -> bool {
     (code::MISS..=code::AILING).contains(&code) || code == code::OK
 }
 
 impl Connection {
-    /// Whether the worker owes something here and has been silent for too long.
+    /// Whether an exchange is unanswered and the worker has been silent for more than [`SUSPECT_AFTER_MS`].
     pub fn is_suspect(&self) -> bool {
-        let since = self.quiet_since.load(Ordering::Relaxed);
-        since > 0 && monotonic_ms() - since as Ms > SUSPECT_MS
+        let since = self.silent_since_ms.load(Ordering::Relaxed);
+        since > 0 && monotonic_ms() - since as Ms > SUSPECT_AFTER_MS
     }
 
-    /// One that is not made yet, whose frames come to the queue.
-    pub fn new(streams: usize) -> (Self, Receiver<Out>) {
+    /// Creates a connection that is not established yet, and the queue of its writer.
+    pub fn new(streams: usize) -> (Self, Receiver<WriterMessage>) {
         let (outbox, queue) = channel();
         let link = Mutex::new(Link::new(streams));
-        let (quiet_since, last_used) = (AtomicU64::new(0), AtomicU64::new(monotonic_ms() as u64));
-        (Connection { link, outbox, quiet_since, last_used, gave_way: AtomicBool::new(false) }, queue)
+        let (silent_since_ms, last_used_ms) = (AtomicU64::new(0), AtomicU64::new(monotonic_ms() as u64));
+        (
+            Connection { link, outbox, silent_since_ms, last_used_ms, is_evicted: AtomicBool::new(false) },
+            queue,
+        )
     }
 
-    /// Something is sent here.
-    pub fn used(&self) {
-        self.last_used.store(monotonic_ms() as u64, Ordering::Relaxed);
+    /// Records that a frame is queued now.
+    pub fn mark_used(&self) {
+        self.last_used_ms.store(monotonic_ms() as u64, Ordering::Relaxed);
     }
 
-    /// When something was last sent here, in milliseconds of the monotonic clock.
-    pub fn last_used(&self) -> u64 {
-        self.last_used.load(Ordering::Relaxed)
+    /// When a frame was last queued, in milliseconds of the monotonic clock.
+    pub fn last_used_ms(&self) -> u64 {
+        self.last_used_ms.load(Ordering::Relaxed)
     }
 
-    /// Ends it, behind what is on its way out, unless something is open on it; whether it does.
-    pub fn give_way(&self) -> bool {
+    /// Closes the connection after the queued frames, unless an exchange is open on it; returns whether it closes.
+    pub fn evict_if_idle(&self) -> bool {
         let closes = lock(&self.link).close_idle();
         if closes {
-            self.gave_way.store(true, Ordering::Relaxed);
-            let _ = self.outbox.send(Out::Stop);
+            self.is_evicted.store(true, Ordering::Relaxed);
+            let _ = self.outbox.send(WriterMessage::Stop);
         }
         closes
     }
 
-    /// Whether it ends to make room for another.
-    pub fn gave_way(&self) -> bool {
-        self.gave_way.load(Ordering::Relaxed)
+    /// Whether it was closed to make room for another connection.
+    pub fn is_evicted(&self) -> bool {
+        self.is_evicted.load(Ordering::Relaxed)
     }
 
-    /// The life of a connection: made, written to, ended. What was open on it ends with it.
+    /// Connects, writes queued frames and closes the connection. Exchanges that are still open then fail.
     pub fn run(
         self: &Arc<Self>,
         host: &Host,
         limits: &Limits,
         dials: &Dials,
-        queue: &Receiver<Out>,
-        intake: Intake,
+        queue: &Receiver<WriterMessage>,
+        receive_buffer: Intake,
     ) {
         let mut guard = EndGuard(self.clone(), AttemptError::Unconnected);
         let connected = Socket::connect(&host.address, limits.connect, WRITE_STALL);
         dials.tried.add();
         let Ok(socket) = connected.map(Arc::new) else { return dials.failed.add() };
         guard.1 = AttemptError::Unfinished(Cause::Broken);
-        let (ours, reader, answer) = (self.clone(), socket.clone(), limits.answer);
+        let (connection, reader, max_answer_bytes) = (self.clone(), socket.clone(), limits.answer);
         let reading = spawn(move || {
-            let _guard = EndGuard(ours.clone(), AttemptError::Unfinished(Cause::Broken));
-            ours.read(&reader, intake, answer);
+            let _guard = EndGuard(connection.clone(), AttemptError::Unfinished(Cause::Broken));
+            connection.read(&reader, receive_buffer, max_answer_bytes);
             reader.shut(Shutdown::Both);
-            let _ = ours.outbox.send(Out::Stop);
+            let _ = connection.outbox.send(WriterMessage::Stop);
         });
         self.write(&socket, host, limits.idle, queue);
         socket.shut(Shutdown::Both);
@@ -167,61 +173,62 @@
         let _ = reading.join();
     }
 
-    fn write(&self, socket: &Socket, host: &Host, idle: Duration, queue: &Receiver<Out>) {
+    fn write(&self, socket: &Socket, host: &Host, idle: Duration, queue: &Receiver<WriterMessage>) {
         loop {
             let mut out = match timers::receive(queue, idle) {
-                Ok(Out::Frame(out)) => out,
-                Ok(Out::Stop) | Err(RecvTimeoutError::Disconnected) => return,
+                Ok(WriterMessage::Frame(out)) => out,
+                Ok(WriterMessage::Stop) | Err(RecvTimeoutError::Disconnected) => return,
                 Err(RecvTimeoutError::Timeout) if lock(&self.link).close_idle() => return,
                 Err(RecvTimeoutError::Timeout) => continue,
             };
             let id = out.frame.id;
-            if out.recipients.excludes(host) || monotonic_ms() > out.by {
-                // Told so while the frame waited, or it waited too long: it must not go out any more.
-                let given_up = if out.is_tracked { lock(&self.link).give_up(id) } else { None };
+            if out.recipients.excludes(host) || monotonic_ms() > out.send_by {
+                // The host was barred while the frame was queued, or the frame was queued too long: it must not be sent.
+                let given_up = if out.expects_answer { lock(&self.link).give_up(id) } else { None };
                 if let Some((_, waiter)) = given_up {
                     waiter(Err(AttemptError::Unfinished(Cause::Barred)));
                 }
                 continue;
             }
-            if out.is_tracked && !lock(&self.link).begin(id) {
+            if out.expects_answer && !lock(&self.link).begin(id) {
                 continue;
             }
-            if out.is_tracked {
-                // Before the first byte, so that no answer can come sooner.
+            if out.expects_answer {
+                // Set before the first byte is written, as the answer may arrive at once.
                 let relaxed = Ordering::Relaxed;
-                let _ = self.quiet_since.compare_exchange(0, monotonic_ms() as u64, relaxed, relaxed);
+                let _ = self.silent_since_ms.compare_exchange(0, monotonic_ms() as u64, relaxed, relaxed);
             }
             if let Some(expires) = out.expires {
                 out.frame.fields.push_str(&format!(",ms={}", until(expires).as_millis().max(1)));
             }
             if socket.write(&out.frame.encode()).is_err() {
-                let torn = if out.is_tracked { lock(&self.link).give_up(id) } else { None };
-                if let Some((_, waiter)) = torn {
+                let unfinished = if out.expects_answer { lock(&self.link).give_up(id) } else { None };
+                if let Some((_, waiter)) = unfinished {
                     waiter(Err(AttemptError::Unfinished(Cause::Broken)));
                 }
                 return;
             }
-            if out.is_tracked {
+            if out.expects_answer {
                 lock(&self.link).whole(id);
             }
             drop(out.notice);
         }
     }
 
-    fn read(&self, socket: &Socket, mut intake: Intake, answer: usize) {
+    fn read(&self, socket: &Socket, mut receive_buffer: Intake, max_answer_bytes: usize) {
         let mut chunk = vec![0; CHUNK];
         loop {
-            match Frame::decode(intake.bytes(), FROM_WORKER) {
-                Ok(Some(frame)) if frame.body.len() > answer => {
+            match Frame::decode(receive_buffer.bytes(), FROM_WORKER) {
+                Ok(Some(frame)) if frame.body.len() > max_answer_bytes => {
                     return tracing::warn!(bytes = frame.body.len(), "worker connection closed: long answer");
                 }
-                Ok(Some(frame)) if expected(frame.code) => {
+                Ok(Some(frame)) if is_answer_code(frame.code) => {
                     let (waiter, idle) = {
                         let mut link = lock(&self.link);
                         (link.answered(frame.id), link.is_idle())
                     };
-                    self.quiet_since.store(if idle { 0 } else { monotonic_ms() as u64 }, Ordering::Relaxed);
+                    self.silent_since_ms
+                        .store(if idle { 0 } else { monotonic_ms() as u64 }, Ordering::Relaxed);
                     if let Some(waiter) = waiter {
                         waiter(Ok(frame));
                     }
@@ -231,9 +238,10 @@
                 }
                 Err(error) => return tracing::warn!(%error, "worker connection closed"),
                 Ok(None) => {
-                    let within = if intake.is_empty() { QUIET } else { PARTIAL };
-                    match intake.fill(socket, &mut chunk, within) {
-                        Err(error) if error.kind() == ErrorKind::TimedOut && intake.is_empty() => {}
+                    let within =
+                        if receive_buffer.is_empty() { IDLE_READ_TIMEOUT } else { PARTIAL_MESSAGE_TIMEOUT };
+                    match receive_buffer.fill(socket, &mut chunk, within) {
+                        Err(error) if error.kind() == ErrorKind::TimedOut && receive_buffer.is_empty() => {}
                         Err(error) if error.kind() == NO_ROOM => {
                             return tracing::warn!("worker connection closed: no room for its answers");
                         }
@@ -246,14 +254,18 @@
     }
 }
 
-/// Ends all that is open on a connection, however its task ends.
+/// Fails all open exchanges of a connection when its task ends, also by a panic.
 struct EndGuard(Arc<Connection>, AttemptError);
 
 impl Drop for EndGuard {
     fn drop(&mut self) {
         let open = lock(&self.0.link).close();
         for (stage, waiter) in open {
-            let end = if self.1 == AttemptError::Unconnected { self.1 } else { broken(stage, Cause::Broken) };
+            let end = if self.1 == AttemptError::Unconnected {
+                self.1
+            } else {
+                unanswered_error(stage, Cause::Broken)
+            };
             waiter(Err(end));
         }
     }
--- a/crates/node/src/wire/workers/tests.rs
+++ b/crates/node/src/wire/workers/tests.rs
@@ -6,10 +6,10 @@
     Limits { streams: 8, connect, idle, connections, answer: 1024, cancels: true }
 }
 
-/// Guards the rule on second copies: the word that gives an attempt up is out once it was written, not once it was
-/// queued behind what a worker does not read.
+/// A cancel command counts as sent once it is written, not once it is queued behind frames that the worker does not
+/// read. Otherwise a second attempt could start while the first still runs.
 #[test]
-fn word_is_out_once_it_was_written() {
+fn cancel_command_is_sent_once_it_is_written() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let host = Host::new(WorkerId(1), "w", listener.local_addr().expect("bound"));
     let second = Duration::from_secs(1);
@@ -21,35 +21,35 @@
     };
     let mut first =
         workers.send(&host, &call(1, 1), monotonic_ms() + 30_000.0, f64::INFINITY, Box::new(|_| ()));
-    let (mut socket, _) = listener.accept().expect("dialled");
+    let (mut socket, _) = listener.accept().expect("connected");
     let mut head = [0; 18];
     std::io::Read::read_exact(&mut socket, &mut head).expect("the first call");
-    // More than buffers hold: the writer is stuck in it.
+    // More than the socket buffers hold, so the writer blocks in this frame.
     let _second =
         workers.send(&host, &call(2, 32 << 20), monotonic_ms() + 30_000.0, f64::INFINITY, Box::new(|_| ()));
     assert_eq!(first.give_up(Cause::GivenUp), Some(AttemptError::Unanswered(Cause::GivenUp)));
     std::thread::sleep(Duration::from_millis(100));
-    assert!(!first.cancel_notice().is_sent(), "it waits behind the second call");
+    assert!(!first.cancel_notice().is_sent(), "queued behind the second call");
     std::thread::spawn(move || std::io::copy(&mut socket, &mut std::io::sink()));
     let end = monotonic_ms() + 20_000.0;
     while !first.cancel_notice().is_sent() {
-        assert!(monotonic_ms() < end, "it is written at last");
+        assert!(monotonic_ms() < end, "the cancel command was not written in time");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// Guards the rule on repeats against a race: an answer, or the end of the connection, may be read
-/// before the writer has noted that the last byte was out.
+/// Guards against a race that would allow a wrong retry: an answer, or the end of the connection, may be read before
+/// the writer has recorded that the last byte was written.
 #[test]
-fn a_frame_that_may_be_out_proves_nothing() {
+fn a_frame_that_may_be_written_does_not_prove_that_the_call_did_not_run() {
     for cause in [Cause::Broken, Cause::Silent, Cause::GivenUp] {
-        assert!(broken(Stage::Queued, cause).outcome().proves_not_run());
-        assert!(!broken(Stage::Writing, cause).outcome().proves_not_run());
-        assert!(!broken(Stage::Whole, cause).outcome().proves_not_run());
+        assert!(unanswered_error(Stage::Queued, cause).outcome().proves_not_run());
+        assert!(!unanswered_error(Stage::Writing, cause).outcome().proves_not_run());
+        assert!(!unanswered_error(Stage::Whole, cause).outcome().proves_not_run());
     }
 }
 
-/// A worker that answers each request at once, for as long as its connections last; tells when one has ended.
+/// A worker that answers each request at once and reports its number when a connection has ended.
 fn answering_worker(number: u32, ended: std::sync::mpsc::Sender<u32>) -> Arc<Host> {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let host = Host::new(WorkerId(number), "w", listener.local_addr().expect("bound"));
@@ -70,15 +70,15 @@
     host
 }
 
-/// Idle connections that fill the budget kept workers from being reached that had none.
+/// Idle connections that filled the budget made workers without a connection unreachable.
 #[test]
-fn idle_connections_keep_other_workers_from_being_reached() {
+fn idle_connections_do_not_keep_other_workers_from_being_reached() {
     let second = Duration::from_secs(1);
     let limits = limits(60 * second, 2);
     let workers = FrameWorkers::new(limits, crate::memory::roomy().account(Purpose::Workers).clone());
     let (ended, endings) = std::sync::mpsc::channel();
     let hosts: Vec<_> = (0..4).map(|number| answering_worker(number, ended.clone())).collect();
-    let ask = |id: u64, host: &Arc<Host>| {
+    let send_call = |id: u64, host: &Arc<Host>| {
         let request = corkbay::Request { id: corkbay::RequestId(id), ..Default::default() };
         let call = Arc::new(Call { request, ..Call::default() });
         let (sender, answer) = std::sync::mpsc::channel();
@@ -87,9 +87,9 @@
         answer.recv_timeout(5 * second).expect("an end")
     };
     for (id, place) in [0, 1, 0, 2, 3].into_iter().enumerate() {
-        assert_eq!(ask(id as u64 + 1, &hosts[place]), Ok(()), "worker {place}");
+        assert_eq!(send_call(id as u64 + 1, &hosts[place]), Ok(()), "worker {place}");
         std::thread::sleep(Duration::from_millis(20));
     }
-    let gave_way: Vec<_> = (0..2).map(|_| endings.recv_timeout(5 * second).expect("an end")).collect();
-    assert_eq!(gave_way, [1, 0], "those that were idle for longest");
+    let evicted: Vec<_> = (0..2).map(|_| endings.recv_timeout(5 * second).expect("an end")).collect();
+    assert_eq!(evicted, [1, 0], "the connections that were idle longest");
 }
