--- a/crates/node/src/wire/frames.rs
+++ b/crates/node/src/wire/frames.rs
@@ -1,79 +1,82 @@
 //! The binary frames between an invoker and a worker.
 use std::fmt;
 
-/// First byte of what an invoker sends.
+/// First byte of a frame from an invoker.
 pub const FROM_INVOKER: u8 = 254;
-/// First byte of what a worker sends.
+/// First byte of a frame from a worker.
 pub const FROM_WORKER: u8 = 253;
 
-/// Codes of commands and answers.
+/// Numeric codes of commands and answers.
 pub mod code {
-    /// A request with its body.
+    /// A call with its body.
     pub const REQUEST: u8 = 32;
-    /// Gives a request up.
+    /// Cancels a request.
     pub const GIVE_UP: u8 = 33;
     /// A probe.
     pub const PROBE: u8 = 34;
-    /// An order to hold copies.
+    /// An order to keep a number of copies of a model loaded.
     pub const LOAD: u8 = 36;
     /// An order to unload idle copies.
     pub const EVICT: u8 = 38;
-    /// Served, or standing.
+    /// The request was served, or the ordered copies are loaded.
     pub const OK: u8 = 128;
-    /// Never ran: not loaded.
+    /// The request did not run: the model is not loaded.
     pub const MISS: u8 = 130;
-    /// Never ran: not taken.
+    /// The request did not run: the worker did not accept it.
     pub const FULL: u8 = 131;
-    /// An error; it may have run.
+    /// The request failed; it may have run.
     pub const ERROR: u8 = 132;
-    /// Never ran: over already.
+    /// The request did not run: its deadline had passed.
     pub const OVER: u8 = 133;
-    /// A probe passed.
+    /// Answer to a probe: the worker is healthy.
     pub const ALIVE: u8 = 134;
-    /// A probe did not pass.
+    /// Answer to a probe: the worker is unhealthy.
     pub const AILING: u8 = 135;
 }
 
-const HEAD: usize = 16;
-const TAIL: usize = 4;
-/// Largest body that is read: the next power of two above the longest answers that workers give (230,000 bytes).
+/// Length of the header: mark, code, length of the fields, length of the body, id.
+const HEADER_BYTES: usize = 16;
+/// Length of the CRC32 that follows the body.
+const CHECKSUM_BYTES: usize = 4;
+/// Maximum size of a body that is read, in bytes: the next power of two above the longest answers of workers
+/// (230,000 bytes).
 pub const MAX_BODY: usize = 256 << 10;
 
 /// One frame.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Frame {
-    /// Who sends it.
+    /// The sender: [`FROM_INVOKER`] or [`FROM_WORKER`].
     pub mark: u8,
-    /// What it is.
+    /// Command or answer, one of [`code`].
     pub code: u8,
-    /// What it belongs to.
+    /// Id of the exchange; the model's id in an order to unload.
     pub id: u64,
-    /// `name=value,name=value`.
+    /// Parameters as `name=value,name=value`.
     pub fields: String,
     /// The body.
     pub body: Vec<u8>,
 }
 
-/// Why bytes are no frame; the connection they came on is of no more use.
+/// Why bytes are not a valid frame. The connection that they arrived on can't be read any further.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BadFrame {
-    /// The first byte is not the other side's.
+    /// The first byte is not the mark of the peer.
     Mark(u8),
-    /// The body is longer than is read.
+    /// The body exceeds [`MAX_BODY`]; its announced size in bytes.
     Long(usize),
-    /// The check does not fit.
+    /// The checksum does not match.
     Check,
-    /// The fields are no text.
+    /// The fields are not valid UTF-8.
     Fields,
 }
 
 impl fmt::Display for BadFrame {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            BadFrame::Mark(mark) => write!(f, "frame begins with {mark}"),
-            BadFrame::Long(size) => write!(f, "frame has a body of {size} bytes"),
-            BadFrame::Check => write!(f, "check of a frame does not fit"),
-            BadFrame::Fields => write!(f, "fields of a frame are no text"),
+            BadFrame::Mark(mark) => write!(f, "frame begins with the unexpected byte {mark}"),
+            BadFrame::Long(size) => write!(f, "frame body of {size} bytes exceeds the limit of {MAX_BODY}"),
+            BadFrame::Check => write!(f, "frame checksum does not match"),
+            BadFrame::Fields => write!(f, "frame fields are not valid UTF-8"),
         }
     }
 }
@@ -81,7 +84,7 @@
 impl std::error::Error for BadFrame {}
 
 impl Frame {
-    /// A frame from the invoker.
+    /// Creates a frame that the invoker sends.
     pub fn command(code: u8, id: u64, fields: String, body: Vec<u8>) -> Self {
         Frame { mark: FROM_INVOKER, code, id, fields, body }
     }
@@ -92,27 +95,27 @@
         pairs.find(|pair| pair.0 == name).map(|pair| pair.1)
     }
 
-    /// Its bytes.
+    /// Encodes the frame.
     pub fn encode(&self) -> Vec<u8> {
         let fields = self.fields.as_bytes();
-        let mut bytes = Vec::with_capacity(HEAD + fields.len() + self.body.len() + TAIL);
+        let mut bytes = Vec::with_capacity(HEADER_BYTES + fields.len() + self.body.len() + CHECKSUM_BYTES);
         bytes.extend([self.mark, self.code]);
         bytes.extend((fields.len() as u16).to_be_bytes());
         bytes.extend((self.body.len() as u32).to_be_bytes());
         bytes.extend(self.id.to_be_bytes());
         bytes.extend(fields);
         bytes.extend(&self.body);
-        bytes.extend(crc32fast::hash(&bytes[HEAD..]).to_be_bytes());
+        bytes.extend(crc32fast::hash(&bytes[HEADER_BYTES..]).to_be_bytes());
         bytes
     }
 
-    /// Takes one frame off the front of `buffer`; `None` while it is not whole.
+    /// Removes one frame from the front of `buffer`; `None` while it is incomplete.
     pub fn decode(buffer: &mut Vec<u8>, mark: u8) -> Result<Option<Frame>, BadFrame> {
         let Some(first) = buffer.first() else { return Ok(None) };
         if *first != mark {
             return Err(BadFrame::Mark(*first));
         }
-        if buffer.len() < HEAD {
+        if buffer.len() < HEADER_BYTES {
             return Ok(None);
         }
         let fields = usize::from(u16::from_be_bytes([buffer[2], buffer[3]]));
@@ -120,23 +123,24 @@
         if body > MAX_BODY {
             return Err(BadFrame::Long(body));
         }
-        let end = HEAD + fields + body;
-        if buffer.len() < end + TAIL {
+        let end = HEADER_BYTES + fields + body;
+        if buffer.len() < end + CHECKSUM_BYTES {
             return Ok(None);
         }
-        if crc32fast::hash(&buffer[HEAD..end]).to_be_bytes() != buffer[end..end + TAIL] {
+        if crc32fast::hash(&buffer[HEADER_BYTES..end]).to_be_bytes() != buffer[end..end + CHECKSUM_BYTES] {
             return Err(BadFrame::Check);
         }
-        let id = buffer[8..HEAD].iter().fold(0u64, |id, byte| id << 8 | u64::from(*byte));
-        let text = std::str::from_utf8(&buffer[HEAD..HEAD + fields]).map_err(|_| BadFrame::Fields)?;
+        let id = buffer[8..HEADER_BYTES].iter().fold(0u64, |id, byte| id << 8 | u64::from(*byte));
+        let text = std::str::from_utf8(&buffer[HEADER_BYTES..HEADER_BYTES + fields])
+            .map_err(|_| BadFrame::Fields)?;
         let frame = Frame {
             mark,
             code: buffer[1],
             id,
             fields: text.to_string(),
-            body: buffer[HEAD + fields..end].to_vec(),
+            body: buffer[HEADER_BYTES + fields..end].to_vec(),
         };
-        buffer.drain(..end + TAIL);
+        buffer.drain(..end + CHECKSUM_BYTES);
         Ok(Some(frame))
     }
 }
--- a/crates/node/src/wire/framing.rs
+++ b/crates/node/src/wire/framing.rs
@@ -1,51 +1,51 @@
-//! Framed messages between nodes: a head of eight bytes, then JSON text.
+//! Framed messages between nodes: a header of eight bytes, then JSON text.
 //!
-//! The head holds the length of the text and its CRC32, both big-endian. What is read and written is reserved in an
-//! account first, so a peer can't make a node hold more than the account allows.
+//! The header holds the length of the text in bytes and its CRC32, both big-endian. Memory for a message is reserved in
+//! an account before it is read or written, so a peer can't make a node hold more than the account allows.
 use corkbay_ledger::{Account, Full, Reservation};
 use serde::{de::DeserializeOwned, Serialize};
 use std::io::{self, ErrorKind, Read, Write};
 
-/// Largest text of a message.
+/// Maximum length of a message's text, in bytes.
 pub const MAX_MESSAGE: usize = 32 << 20;
-/// Length of the head.
-pub const HEAD: usize = 8;
+/// Length of the header.
+pub const HEADER_BYTES: usize = 8;
 
-/// A head as it goes over the wire.
-pub type Head = [u8; HEAD];
+/// An encoded header.
+pub type Head = [u8; HEADER_BYTES];
 
 /// Why a message was not sent or received.
 #[derive(Debug, thiserror::Error)]
 pub enum FramingError {
-    /// The connection.
+    /// Reading or writing failed.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// The head announces more than a message may hold.
-    #[error("message of {bytes} bytes, {most} at most")]
+    /// The text is longer than the limit.
+    #[error("message of {bytes} bytes exceeds the limit of {most}")]
     TooLong {
-        /// What it would take.
+        /// Length of the text, in bytes.
         bytes: usize,
-        /// What it may take.
+        /// Maximum length, in bytes.
         most: usize,
     },
     /// The text does not match its checksum.
-    #[error("damaged message")]
+    #[error("checksum of the message does not match")]
     Checksum,
-    /// The text is no message of the protocol.
-    #[error("unknown message: {0}")]
+    /// The text is not a valid message of the protocol.
+    #[error("malformed message: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// The account has no room for it.
+    /// The account has no room for the message.
     #[error("no room for a message: {0}")]
     Full(#[from] Full),
 }
 
 impl FramingError {
-    /// Whether the other side ended the connection between two messages.
+    /// Whether the peer closed the connection.
     pub fn is_closed(&self) -> bool {
         matches!(self, FramingError::Io(error) if error.kind() == ErrorKind::UnexpectedEof)
     }
 
-    /// Whether nothing came in the time given.
+    /// Whether a read timed out.
     pub fn is_timeout(&self) -> bool {
         let silent = [ErrorKind::TimedOut, ErrorKind::WouldBlock];
         matches!(self, FramingError::Io(error) if silent.contains(&error.kind()))
@@ -57,13 +57,13 @@
 pub struct Received<T> {
     /// The message itself.
     pub message: T,
-    /// Bytes that it took on the wire.
+    /// Size on the wire, in bytes.
     pub bytes: usize,
-    /// Room for its text, which is about what its parts take.
+    /// Reservation for the length of the text, which approximates the memory that the decoded message takes.
     pub held: Reservation,
 }
 
-/// Sends a message; returns the bytes that it took on the wire.
+/// Sends a message; returns its size on the wire, in bytes.
 pub fn send(
     account: &Account,
     socket: &mut impl Write,
@@ -74,7 +74,7 @@
     Ok(frame.bytes.len())
 }
 
-/// Receives a message with a text of `most` bytes at most.
+/// Receives a message whose text has `most` bytes at most.
 pub fn receive<T: DeserializeOwned>(
     account: &Account,
     socket: &mut impl Read,
@@ -85,7 +85,7 @@
     receive_after(account, socket, head, most)
 }
 
-/// Receives the rest of a message whose head was read before.
+/// Receives the rest of a message whose header has been read already.
 pub fn receive_after<T: DeserializeOwned>(
     account: &Account,
     socket: &mut impl Read,
@@ -97,9 +97,9 @@
     if size > most {
         return Err(FramingError::TooLong { bytes: size, most });
     }
-    // Memory follows what has come, not what was promised.
+    // The buffer grows with the bytes received, not with the announced length.
     let mut text = AccountedBytes::new(account);
-    io::copy(&mut socket.take(size as u64), &mut text).map_err(full_or_io)?;
+    io::copy(&mut socket.take(size as u64), &mut text).map_err(framing_error_of)?;
     if text.bytes.len() < size {
         return Err(io::Error::from(ErrorKind::UnexpectedEof).into());
     }
@@ -107,32 +107,32 @@
         return Err(FramingError::Checksum);
     }
     let message = serde_json::from_slice(&text.bytes)?;
-    Ok(Received { message, bytes: HEAD + size, held: text.held })
+    Ok(Received { message, bytes: HEADER_BYTES + size, held: text.held })
 }
 
-/// A message as it goes over the wire.
+/// Encodes a message with its header.
 fn encode(account: &Account, message: &impl Serialize) -> Result<AccountedBytes, FramingError> {
     let mut frame = AccountedBytes::new(account);
-    frame.write_all(&[0; HEAD]).map_err(full_or_io)?;
+    frame.write_all(&[0; HEADER_BYTES]).map_err(framing_error_of)?;
     if let Err(error) = serde_json::to_writer(&mut frame, message) {
         if error.is_io() {
-            return Err(full_or_io(error.into()));
+            return Err(framing_error_of(error.into()));
         }
         return Err(error.into());
     }
-    let text = &frame.bytes[HEAD..];
+    let text = &frame.bytes[HEADER_BYTES..];
     if text.len() > MAX_MESSAGE {
         return Err(FramingError::TooLong { bytes: text.len(), most: MAX_MESSAGE });
     }
     let size = (text.len() as u32).to_be_bytes();
     let checksum = crc32fast::hash(text).to_be_bytes();
     frame.bytes[..4].copy_from_slice(&size);
-    frame.bytes[4..HEAD].copy_from_slice(&checksum);
+    frame.bytes[4..HEADER_BYTES].copy_from_slice(&checksum);
     Ok(frame)
 }
 
-/// Tells a full account from an error of the connection.
-fn full_or_io(error: io::Error) -> FramingError {
+/// Distinguishes a full account from an error of the connection.
+fn framing_error_of(error: io::Error) -> FramingError {
     let is_full = error.get_ref().is_some_and(|inner| inner.is::<Full>());
     if !is_full {
         return FramingError::Io(error);
@@ -143,7 +143,7 @@
     }
 }
 
-/// Bytes that are reserved before they are held.
+/// A byte buffer that reserves memory in an account before it grows.
 struct AccountedBytes {
     bytes: Vec<u8>,
     held: Reservation,
--- a/crates/node/src/wire/framing/tests.rs
+++ b/crates/node/src/wire/framing/tests.rs
@@ -14,33 +14,33 @@
 }
 
 #[test]
-fn messages_come_as_they_were_sent_and_leave_no_room_taken() {
+fn messages_round_trip_and_release_their_reservations() {
     let account = account();
-    let words = vec!["one".to_string(), "two".to_string()];
-    let bytes = frame(&account, &words);
+    let texts = vec!["one".to_string(), "two".to_string()];
+    let bytes = frame(&account, &texts);
     let received = receive::<Vec<String>>(&account, &mut bytes.as_slice(), MAX_MESSAGE).expect("whole");
-    assert_eq!((received.message, received.bytes), (words, bytes.len()));
+    assert_eq!((received.message, received.bytes), (texts, bytes.len()));
     assert!(account.used() > 0);
     drop(received.held);
     assert_eq!(account.used(), 0);
 }
 
-/// Guards a node against frames that are damaged, cut short, too long or of another protocol: each is an error by name.
+/// Frames that are damaged, truncated, too long or of another protocol each give an error of their own.
 #[test]
-fn bad_frames_are_told_apart() {
+fn bad_frames_give_distinct_errors() {
     let account = account();
     let whole = frame(&account, &"word");
     let read = |bytes: &[u8]| receive::<String>(&account, &mut &*bytes, MAX_MESSAGE).expect_err("bad");
     let mut damaged = whole.clone();
-    damaged[HEAD + 1] ^= 1;
+    damaged[HEADER_BYTES + 1] ^= 1;
     assert!(matches!(read(&damaged), FramingError::Checksum));
     assert!(read(&whole[..whole.len() - 1]).is_closed());
-    assert!(matches!(read(&[0xff; HEAD]), FramingError::TooLong { .. }));
+    assert!(matches!(read(&[0xff; HEADER_BYTES]), FramingError::TooLong { .. }));
     assert!(matches!(read(&frame(&account, &7)), FramingError::Malformed(_)));
     assert_eq!(account.used(), 0);
 }
 
-/// Guards memory: a message that the account has no room for is neither written nor read to its end.
+/// A message that the account has no room for is neither written nor read to its end.
 #[test]
 fn a_full_account_refuses_a_message() {
     let account = account();
--- a/crates/node/src/wire/intake.rs
+++ b/crates/node/src/wire/intake.rs
@@ -1,44 +1,44 @@
-//! What was read from a connection and is not used yet, accounted as it grows.
+//! Receive buffer of a connection: bytes that were read and not consumed yet. Its memory is reserved as it grows.
 //!
-//! A connection has paid for two chunks when it was taken in: one to read into, one to keep. What grows
-//! beyond that is reserved first; while there is no room, nothing more is read, and what the other side sends
-//! backs up in its own buffers. Who was held up for too long is told so and loses the connection.
+//! Two chunks are reserved when a connection is accepted: one to read into and one for unconsumed bytes. Growth beyond
+//! that is reserved first. While there is no room nothing more is read, so that the data backs up at the peer (backpressure).
+//! When the wait for room takes too long, the read fails and the connection is closed.
 use super::socket::Socket;
 use crate::memory::room::grow;
 use corkbay_ledger::{Account, Purpose, Reservation};
 use std::io;
 use std::time::Duration;
 
-/// Bytes that are read at a time, and that a connection may hold without a further reservation.
+/// Size of one read, in bytes, and of the unconsumed data that a connection may hold without a further reservation.
 pub const CHUNK: usize = 4096;
 
-/// The unused bytes of one connection.
+/// Receive buffer of one connection.
 pub struct Intake {
     bytes: Vec<u8>,
     held: Reservation,
     purpose: Purpose,
-    /// What is held beside the bytes for the message that is read, such as its body.
+    /// Bytes held elsewhere for the message that is being read, such as its body.
     beside: usize,
 }
 
 impl Intake {
-    /// Nothing yet, on the account of that purpose.
+    /// Creates an empty buffer, charged to the account of the given purpose.
     pub fn new(account: &Account, purpose: Purpose) -> Self {
         Intake { bytes: Vec::new(), held: account.nothing(), purpose, beside: 0 }
     }
 
-    /// What was read and not used.
+    /// The unconsumed bytes.
     pub fn bytes(&mut self) -> &mut Vec<u8> {
         &mut self.bytes
     }
 
-    /// Whether all was used.
+    /// Whether all bytes have been consumed.
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
 
-    /// Reads what has come, or waits for it; tells how many bytes that were. [`NO_ROOM`](crate::memory::room::NO_ROOM) where there was no
-    /// room for more for too long.
+    /// Reads received bytes, or waits for some; returns their number. Fails with [`NO_ROOM`](crate::memory::room::NO_ROOM)
+    /// when there was no room for them for too long.
     pub fn fill(&mut self, socket: &Socket, chunk: &mut [u8], within: Duration) -> io::Result<usize> {
         let size = socket.read(chunk, within)?;
         self.make_room(size)?;
@@ -46,13 +46,13 @@
         Ok(size)
     }
 
-    /// Counts what is held beside the bytes from now on.
+    /// Sets the number of bytes held elsewhere for the current message, and reserves them.
     pub fn beside(&mut self, bytes: usize) -> io::Result<()> {
         self.beside = bytes;
-        self.settle(self.bytes.capacity())
+        self.adjust_reservation(self.bytes.capacity())
     }
 
-    /// Room for more bytes; memory that was needed once is given back when all of it was used.
+    /// Makes room for `more` bytes. Memory beyond one chunk is released once the buffer is empty.
     fn make_room(&mut self, more: usize) -> io::Result<()> {
         if self.bytes.is_empty() && self.bytes.capacity() > CHUNK {
             self.bytes = Vec::new();
@@ -62,12 +62,12 @@
             return Ok(());
         }
         let capacity = needed.next_power_of_two();
-        self.settle(capacity)?;
+        self.adjust_reservation(capacity)?;
         self.bytes.reserve_exact(capacity - self.bytes.len());
         Ok(())
     }
 
-    fn settle(&mut self, capacity: usize) -> io::Result<()> {
+    fn adjust_reservation(&mut self, capacity: usize) -> io::Result<()> {
         grow(&mut self.held, self.purpose, (capacity + self.beside).saturating_sub(CHUNK))
     }
 }
--- a/crates/node/src/wire/socket.rs
+++ b/crates/node/src/wire/socket.rs
@@ -1,9 +1,9 @@
 //! A stream socket whose reader and writers share one descriptor.
 //!
-//! A coroutine that waits for a socket is parked in the one slot of its registration, so two may not wait
-//! on the same descriptor. Here the reader alone waits on it. A writer writes what the kernel takes at
-//! once; one that meets a full buffer tries again after a pause. A second descriptor to wait on would save the
-//! pauses, but clients that read slowly could then take all descriptors that the program has.
+//! A descriptor's registration with the event loop holds one waiting coroutine, so two coroutines may not wait on the same
+//! descriptor. Only the reader waits for events. A writer writes what the kernel accepts at once, and retries after a
+//! pause when the send buffer is full. A second descriptor for the writer would avoid the pauses, but clients that
+//! read slowly could then exhaust the descriptors of the process.
 use crate::core::lock;
 use crate::timers;
 use may::io::CoIo;
@@ -16,37 +16,40 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// Pauses of a writer that meets a full buffer; each is twice the one before.
-const SHORTEST_PAUSE: Duration = Duration::from_millis(1);
-const LONGEST_PAUSE: Duration = Duration::from_millis(16);
-/// Pause of a reader that a signal interrupted.
-const INTERRUPTED_PAUSE: Duration = Duration::from_millis(1);
+/// First pause of a writer whose send buffer is full; each further pause is twice as long.
+const MIN_WRITE_PAUSE: Duration = Duration::from_millis(1);
+/// Upper limit of the pauses of a writer.
+const MAX_WRITE_PAUSE: Duration = Duration::from_millis(16);
+/// Pause of a reader after a signal interrupted its wait.
+const INTERRUPTED_READ_PAUSE: Duration = Duration::from_millis(1);
 
-/// A stream that was made elsewhere. Other descriptors of it may stand, here or in another process, so that its
-/// registration does not end with this one: it has to be taken back before the descriptor is closed.
-struct Adopted(Option<CoIo<net::TcpStream>>);
+/// A stream that was accepted by another part of the program or by another process. Other descriptors of the same
+/// connection may be open, so closing this one does not end its registration with the event loop: the registration has
+/// to be removed before the descriptor is closed.
+struct AdoptedStream(Option<CoIo<net::TcpStream>>);
 
-impl Adopted {
+impl AdoptedStream {
     fn new(stream: net::TcpStream) -> io::Result<Self> {
-        Ok(Adopted(Some(CoIo::new(stream)?)))
+        Ok(AdoptedStream(Some(CoIo::new(stream)?)))
     }
 
     fn get(&self) -> &CoIo<net::TcpStream> {
-        self.0.as_ref().expect("there until it is dropped")
+        self.0.as_ref().expect("set until the value is dropped")
     }
 }
 
-impl Drop for Adopted {
+impl Drop for AdoptedStream {
     fn drop(&mut self) {
         drop(self.0.take().map(CoIo::into_inner));
     }
 }
 
-/// A stream that coroutines can wait for.
+/// A stream on which coroutines can wait.
 enum Stream {
-    /// Accepted or connected here.
+    /// Accepted or connected through `may`.
     Own(TcpStream),
-    Adopted(Adopted),
+    /// Created elsewhere and registered here.
+    Adopted(AdoptedStream),
 }
 
 impl Stream {
@@ -57,7 +60,7 @@
         }
     }
 
-    /// Waits until there is something to read.
+    /// Waits until data can be read, for `within` at most.
     fn wait(&self, within: Duration) -> io::Result<()> {
         let (within, byte) = (Some(timers::piece(within)), &mut [0; 1]);
         match self {
@@ -71,56 +74,57 @@
     }
 }
 
-/// A connected socket. One task at a time reads; any may write.
+/// A connected socket. Only one task may read at a time; any task may write.
 pub struct Socket {
     stream: Stream,
-    writing: Mutex<()>,
-    /// Whether the reader waits, so that it has taken nothing that it has not told of yet.
+    /// Held while a message is written, so that messages do not interleave.
+    write_lock: Mutex<()>,
+    /// Whether the reader is waiting, which means that it has processed all that it read.
     reader_waits: AtomicBool,
-    /// Called each time the reader begins to wait.
+    /// Called each time the reader starts to wait.
     on_reader_waits: Option<Box<dyn Fn() + Send + Sync>>,
-    /// How long the other side may take nothing of a message.
+    /// Time without progress after which a write fails.
     stall: Duration,
 }
 
 impl Socket {
-    /// Wraps a stream; a message of which nothing is taken for `stall` ends the connection.
+    /// Wraps a stream. A write that makes no progress for `stall` closes the connection.
     pub fn new(stream: TcpStream, stall: Duration) -> io::Result<Self> {
         stream.set_nodelay(true)?;
         Ok(Self::of(Stream::Own(stream), stall))
     }
 
-    /// Wraps a stream that was made elsewhere.
+    /// Wraps a stream that was created elsewhere, such as one that another process handed over.
     pub fn adopt(stream: net::TcpStream, stall: Duration) -> io::Result<Self> {
-        Ok(Self::of(Stream::Adopted(Adopted::new(stream)?), stall))
+        Ok(Self::of(Stream::Adopted(AdoptedStream::new(stream)?), stall))
     }
 
     fn of(stream: Stream, stall: Duration) -> Self {
-        let (writing, reader_waits) = (Mutex::new(()), AtomicBool::new(false));
-        Socket { stream, writing, reader_waits, on_reader_waits: None, stall }
+        let (write_lock, reader_waits) = (Mutex::new(()), AtomicBool::new(false));
+        Socket { stream, write_lock, reader_waits, on_reader_waits: None, stall }
     }
 
-    /// The same socket, which calls this each time its reader has read all that has come and begins to wait.
-    pub fn on_reader_waits(mut self, call: impl Fn() + Send + Sync + 'static) -> Self {
-        self.on_reader_waits = Some(Box::new(call));
+    /// Sets a function that is called each time the reader has read all received bytes and starts to wait.
+    pub fn on_reader_waits(mut self, callback: impl Fn() + Send + Sync + 'static) -> Self {
+        self.on_reader_waits = Some(Box::new(callback));
         self
     }
 
-    /// Whether the other side writes no more, also where what it wrote before was not read yet.
+    /// Whether the peer has closed its writing side, even if bytes that it sent before are still unread.
     pub fn is_hung_up(&self) -> bool {
         let at_once = Timespec { tv_sec: 0, tv_nsec: 0 };
-        let mut looked_at = [PollFd::new(self.stream.inner(), PollFlags::RDHUP)];
-        poll(&mut looked_at, Some(&at_once)).is_ok_and(|ready| ready > 0)
+        let mut poll_fds = [PollFd::new(self.stream.inner(), PollFlags::RDHUP)];
+        poll(&mut poll_fds, Some(&at_once)).is_ok_and(|ready| ready > 0)
     }
 
-    /// Whether bytes have come that were not read yet.
+    /// Whether received bytes wait to be read.
     pub fn has_unread(&self) -> bool {
-        uninterrupted(|| self.stream.inner().peek(&mut [0; 1])).is_ok_and(|size| size > 0)
+        retry_interrupted(|| self.stream.inner().peek(&mut [0; 1])).is_ok_and(|size| size > 0)
     }
 
-    /// Whether bytes have come that were not read yet, or the reader is at work on what it read.
+    /// Whether received bytes wait to be read, or the reader is processing what it read.
     pub fn has_unused(&self) -> bool {
-        // In this order: whoever reads what would have been seen here does not wait from before that on.
+        // The order matters: a reader that takes the bytes between the two checks has cleared `reader_waits` before.
         self.has_unread() || !self.reader_waits.load(Ordering::SeqCst)
     }
 
@@ -129,12 +133,12 @@
         self.stream.inner().try_clone().map(Into::into)
     }
 
-    /// Connects within the time given.
+    /// Connects to an address, for `within` at most.
     pub fn connect(address: &SocketAddr, within: Duration, stall: Duration) -> io::Result<Self> {
         Socket::new(TcpStream::connect_timeout(address, timers::piece(within))?, stall)
     }
 
-    /// Reads what has come, or waits for it; [`ErrorKind::TimedOut`] where nothing comes in time.
+    /// Reads received bytes, or waits for some; [`ErrorKind::TimedOut`] when none arrive within the given time.
     pub fn read(&self, buffer: &mut [u8], within: Duration) -> io::Result<usize> {
         let end = Instant::now() + within;
         loop {
@@ -142,26 +146,26 @@
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {
                     self.reader_waits.store(true, Ordering::SeqCst);
-                    if let Some(call) = &self.on_reader_waits {
-                        call();
+                    if let Some(callback) = &self.on_reader_waits {
+                        callback();
                     }
                     let left = end.saturating_duration_since(Instant::now());
                     let waited = self.stream.wait(left);
                     self.reader_waits.store(false, Ordering::SeqCst);
                     match waited {
                         Err(error) if error.kind() == ErrorKind::TimedOut && Instant::now() < end => {}
-                        // What came just as the time was up has come.
+                        // Bytes that arrived just as the wait timed out are still returned.
                         Err(error) if error.kind() == ErrorKind::TimedOut => {
-                            return uninterrupted(|| self.stream.inner().read(buffer)).map_err(|late| {
+                            return retry_interrupted(|| self.stream.inner().read(buffer)).map_err(|late| {
                                 match late.kind() {
                                     ErrorKind::WouldBlock => error,
                                     _ => late,
                                 }
                             });
                         }
-                        // A signal came; nothing is amiss. Others have their turn before the next look.
+                        // A signal interrupted the wait. The pause lets other coroutines run before the next try.
                         Err(error) if error.kind() == ErrorKind::Interrupted => {
-                            timers::sleep(INTERRUPTED_PAUSE)
+                            timers::sleep(INTERRUPTED_READ_PAUSE)
                         }
                         waited => waited?,
                     }
@@ -171,30 +175,30 @@
         }
     }
 
-    /// Writes a message whole, one after the other. One that can't be written ends the connection, in
-    /// both directions: what came after it could not be told from its rest.
+    /// Writes a whole message; concurrent writers take turns. A failed write closes the connection in both directions,
+    /// as the peer would read the next message as the rest of this one.
     pub fn write(&self, bytes: &[u8]) -> io::Result<()> {
-        let _turn = lock(&self.writing);
+        let _guard = lock(&self.write_lock);
         self.write_all(bytes).inspect_err(|_| self.shut(Shutdown::Both))
     }
 
     fn write_all(&self, mut rest: &[u8]) -> io::Result<()> {
-        let (mut moved, mut pause) = (Instant::now(), SHORTEST_PAUSE);
+        let (mut last_progress, mut pause) = (Instant::now(), MIN_WRITE_PAUSE);
         while !rest.is_empty() {
             match self.stream.inner().write(rest) {
                 Ok(0) => return Err(ErrorKind::WriteZero.into()),
                 Ok(size) => {
                     rest = &rest[size..];
-                    (moved, pause) = (Instant::now(), SHORTEST_PAUSE);
+                    (last_progress, pause) = (Instant::now(), MIN_WRITE_PAUSE);
                 }
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {
-                    // Each wait by itself: whoever takes some of a message is given time for the rest.
-                    if moved.elapsed() >= self.stall {
+                    // The limit applies since the last progress: a slow peer that keeps reading is given time for the rest.
+                    if last_progress.elapsed() >= self.stall {
                         return Err(ErrorKind::TimedOut.into());
                     }
                     timers::sleep(pause);
-                    pause = (pause * 2).min(LONGEST_PAUSE);
+                    pause = (pause * 2).min(MAX_WRITE_PAUSE);
                 }
                 Err(error) => return Err(error),
             }
@@ -202,29 +206,29 @@
         Ok(())
     }
 
-    /// The socket as a reader and writer that waits as long at a time.
+    /// The socket as [`Read`] and [`Write`], whose reads wait for `within` at most.
     pub fn patient(&self, within: Duration) -> Patient<'_> {
         Patient { socket: self, within }
     }
 
-    /// Ends the connection in one direction or both; whoever waits on it goes on.
+    /// Shuts the connection down in one direction or both; a task that waits on it is woken.
     pub fn shut(&self, how: Shutdown) {
-        // The other side may have ended it before.
+        // Fails when the peer has closed the connection already.
         let _ = self.stream.inner().shutdown(how);
     }
 }
 
-/// Does something that a signal may interrupt, until none does.
-fn uninterrupted<T>(mut task: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+/// Repeats an operation while a signal interrupts it.
+fn retry_interrupted<T>(mut operation: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
-        match task() {
+        match operation() {
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
             end => return end,
         }
     }
 }
 
-/// A socket as [`Read`] and [`Write`], with a limit for each wait.
+/// A socket as [`Read`] and [`Write`], with a timeout for each read.
 pub struct Patient<'a> {
     socket: &'a Socket,
     within: Duration,
--- a/crates/node/src/wire/socket/tests.rs
+++ b/crates/node/src/wire/socket/tests.rs
@@ -11,8 +11,8 @@
     (socket.join().expect("no panic").expect("connected"), other)
 }
 
-/// Guards the sharing of one descriptor: a writer that meets a full buffer must neither lose bytes
-/// nor disturb the reader that waits meanwhile.
+/// Reader and writers share one descriptor: a writer whose send buffer is full must neither lose bytes nor disturb the
+/// reader that waits at the same time.
 #[test]
 fn a_full_buffer_is_waited_for_while_another_task_reads() {
     let (socket, mut other) = pair(Duration::from_secs(20));
@@ -32,7 +32,7 @@
     assert!(got == long && writing.join().expect("no panic").is_ok());
 }
 
-/// Guards long answers to slow readers: a message takes far longer in all than its reader may take nothing of it.
+/// A long message to a slow reader is written whole, although it takes far longer in total than the stall timeout.
 #[test]
 fn a_message_that_is_taken_slowly_is_written_whole() {
     let (socket, mut other) = pair(Duration::from_millis(400));
@@ -50,7 +50,7 @@
     assert_eq!((got, writing.join().expect("no panic")), (size, Ok(())));
 }
 
-/// Guards against a client that never reads and so holds whoever writes to it.
+/// A client that never reads must not block the task that writes to it.
 #[test]
 fn a_message_left_unread_ends_the_connection() {
     let (socket, mut other) = pair(Duration::from_millis(100));
@@ -64,13 +64,13 @@
 }
 
 #[test]
-fn silence_is_told_after_the_time_given() {
+fn a_read_without_data_times_out() {
     let (socket, _other) = pair(Duration::from_secs(1));
     let end = spawn(move || socket.read(&mut [0; 8], Duration::from_millis(20)).map_err(|e| e.kind()));
     assert_eq!(end.join().expect("no panic"), Err(ErrorKind::TimedOut));
 }
 
-/// Guards the ends of waits: a read was cut down to whole milliseconds, and ended before its time.
+/// Read timeouts were truncated to whole milliseconds, so that a read timed out too early.
 #[test]
 fn a_read_ends_no_sooner_than_its_time() {
     let (socket, _other) = pair(Duration::from_secs(5));
