--- a/crates/node/src/wire/invoke.rs
+++ b/crates/node/src/wire/invoke.rs
@@ -1,13 +1,13 @@
 //! The invoke API: HTTP/1.1, synchronous and deferred calls, with the functions and workers beside them.
 //!
-//! Both styles go through `InvokeApi::run`; they differ only in how the answer travels.
+//! Both styles run a call through `InvokeApi::run`; they differ only in how the answer reaches the client.
 //!
 //! | module | job |
 //! | --- | --- |
 //! | `routes` | paths and methods |
-//! | `calls` | calls, held and deferred |
-//! | `responses` | what is answered |
-//! | `resume` | deferred calls that an earlier process left open |
+//! | `calls` | synchronous and deferred calls |
+//! | `responses` | responses of the API |
+//! | `resume` | deferred calls that an earlier process did not finish |
 mod calls;
 mod responses;
 mod resume;
@@ -26,62 +26,63 @@
 use corkbay::RequestId;
 use corkbay_ledger::{Purpose, Reservation};
 use may::coroutine::JoinHandle;
-use responses::{no_room, unreadable};
+use responses::{bad_request, no_room};
 use routes::route;
 use std::io::{self, ErrorKind};
 use std::net::Shutdown;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The client's time for a call, in milliseconds from now.
+/// Request header: time that the client allows for a call, in milliseconds from its receipt.
 pub const DEADLINE_HEADER: &str = "Corkbay-Deadline-Ms";
-/// Whether a call that was not served may have run, in lower case.
+/// Response header, in lower case: whether a call that was not served may have run.
 pub const MAY_HAVE_RUN_HEADER: &str = "corkbay-may-have-run";
-/// Largest body of a request.
-pub const MAX_BODY: usize = 16 << 10;
-const IDLE: Duration = Duration::from_secs(60);
-/// Longest silence within a request.
-const MESSAGE: Duration = Duration::from_secs(10);
-/// Longest time for which a client may stop reading while a response is written to it.
+/// Maximum size of a request's body, in bytes.
+pub const MAX_BODY_BYTES: usize = 16 << 10;
+/// An idle connection is closed after this time.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+/// Longest wait for the next bytes of a request that has begun.
+const REQUEST_READ_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time without progress after which writing a response fails.
 pub const WRITE_STALL: Duration = Duration::from_secs(5);
-/// How often a held call is looked at while its client has sent its next request already.
-const ANSWER_LOOK: Duration = Duration::from_millis(2);
-/// How long, and for how many bytes, a client may go on sending after the last answer.
+/// How often a held call is polled while its client has sent the next request already.
+const ANSWER_POLL_INTERVAL: Duration = Duration::from_millis(2);
+/// How long each read waits while the rest of the input is discarded after the last response.
 const LINGER: Duration = Duration::from_secs(1);
 
-/// What the API works on.
+/// State that the invoke API works on.
 pub struct InvokeApi {
-    /// The core.
+    /// Schedules and runs calls.
     pub invoker: Arc<Invoker>,
-    /// Keys and deferred calls.
+    /// Idempotency keys and deferred calls.
     pub invocations: Arc<Invocations>,
-    /// Functions and workers.
+    /// Configured functions and workers.
     pub catalog: Arc<Catalog>,
-    /// Where the configuration comes from and goes to.
+    /// Role of the node: the source of its configuration and the nodes that it is sent to.
     pub role: Role,
 }
 
-/// A call whose answer goes out on the connection.
+/// A call whose answer is written to the connection.
 struct Current {
     id: RequestId,
     task: JoinHandle<bool>,
 }
 
-/// What a request comes to.
-enum Next {
-    /// This response, at once.
+/// How a request is answered.
+enum RouteResult {
+    /// Respond at once.
     Respond(Response),
-    /// The same for one that is large enough to be counted while it is written.
+    /// Respond at once with a large response, whose memory stays reserved until it is written.
     Counted(Response, Reservation),
-    /// The answer of this task, which writes it itself.
+    /// The task of the call writes the response itself.
     Held(Current),
 }
 
-/// The life of one client connection.
+/// Serves one client connection until it ends.
 pub fn serve(api: &Arc<InvokeApi>, connection: &Arc<Connection>) {
     let mut current = None;
-    // The end of the connection, however it comes, leaves nobody to wait for a held call.
-    let end = converse(api, connection, &mut current);
+    // However the connection ends, no client is left to wait for a held call.
+    let end = serve_requests(api, connection, &mut current);
     if let Some(Current { id, task }) = current {
         api.invoker.withdraw(id);
         let _ = task.join();
@@ -92,21 +93,23 @@
     connection.shut(Shutdown::Both);
 }
 
-/// Answers requests in the order they come; `Ok` once the last is answered.
-fn converse(
+/// Answers requests in the order of their arrival; `Ok` once the last is answered.
+fn serve_requests(
     api: &Arc<InvokeApi>,
     connection: &Arc<Connection>,
     current: &mut Option<Current>,
 ) -> io::Result<()> {
-    let (mut raw, mut chunk) = (Intake::new(connection.account(), Purpose::Clients), vec![0; CHUNK]);
+    let (mut receive_buffer, mut chunk) =
+        (Intake::new(connection.account(), Purpose::Clients), vec![0; CHUNK]);
     let chunk = chunk.as_mut_slice();
-    let fill = |raw: &mut Intake, chunk: &mut [u8]| loop {
-        let within = if raw.is_empty() { IDLE } else { MESSAGE };
-        match raw.fill(connection, chunk, within) {
-            Ok(0) => read_to_its_end(connection)?,
+    let fill = |receive_buffer: &mut Intake, chunk: &mut [u8]| loop {
+        let within = if receive_buffer.is_empty() { IDLE_TIMEOUT } else { REQUEST_READ_TIMEOUT };
+        match receive_buffer.fill(connection, chunk, within) {
+            Ok(0) => handle_end_of_input(connection)?,
             Ok(_) => return Ok(()),
             Err(error) if error.kind() == ErrorKind::TimedOut => {
-                // While a call is held the client has nothing to say, and it may have been answered while this waited.
+                // A client with a held call need not send anything, and the call may have been answered during
+                // this wait, so that the idle time starts then.
                 let (state, since) = connection.state();
                 if state != ClientState::Busy && monotonic_ms() - since >= within.as_secs_f64() * 1000.0 {
                     return Err(error);
@@ -117,16 +120,22 @@
     };
     loop {
         let mut head = loop {
-            match RequestHead::decode(raw.bytes()) {
+            match RequestHead::decode(receive_buffer.bytes()) {
                 Ok(Some(head)) => break head,
-                Ok(None) => match fill(&mut raw, chunk) {
+                Ok(None) => match fill(&mut receive_buffer, chunk) {
                     Err(error) if error.kind() == NO_ROOM => {
-                        return refuse_to_read(connection, &mut raw, chunk, current, no_room())
+                        return respond_and_close(connection, &mut receive_buffer, chunk, current, no_room())
                     }
                     end => end?,
                 },
                 Err(error) => {
-                    return refuse_to_read(connection, &mut raw, chunk, current, unreadable(&error))
+                    return respond_and_close(
+                        connection,
+                        &mut receive_buffer,
+                        chunk,
+                        current,
+                        bad_request(&error),
+                    )
                 }
             }
         };
@@ -135,45 +144,57 @@
         }
         let mut body = Vec::new();
         loop {
-            match head.body.feed(raw.bytes(), &mut body, MAX_BODY) {
+            match head.body.feed(receive_buffer.bytes(), &mut body, MAX_BODY_BYTES) {
                 Ok(true) => break,
                 Ok(false) => {
-                    let room = raw.beside(body.capacity());
-                    match room.and_then(|()| fill(&mut raw, chunk)) {
+                    let room = receive_buffer.beside(body.capacity());
+                    match room.and_then(|()| fill(&mut receive_buffer, chunk)) {
                         Err(error) if error.kind() == NO_ROOM => {
-                            return refuse_to_read(connection, &mut raw, chunk, current, no_room());
+                            return respond_and_close(
+                                connection,
+                                &mut receive_buffer,
+                                chunk,
+                                current,
+                                no_room(),
+                            );
                         }
                         end => end?,
                     }
                 }
                 Err(error) => {
-                    return refuse_to_read(connection, &mut raw, chunk, current, unreadable(&error))
+                    return respond_and_close(
+                        connection,
+                        &mut receive_buffer,
+                        chunk,
+                        current,
+                        bad_request(&error),
+                    )
                 }
             }
         }
-        // From here on the body counts with the call.
-        raw.beside(0)?;
-        // One answer after the other, in the order of the requests.
-        if !answered(connection, &mut raw, chunk, current, true)? {
+        // The call reserves the memory of its body from here on.
+        receive_buffer.beside(0)?;
+        // Responses are written one at a time, in the order of the requests.
+        if !wait_for_answer(connection, &mut receive_buffer, chunk, current, true)? {
             return Err(ErrorKind::BrokenPipe.into());
         }
-        let kept = connection.keep();
+        let request_guard = connection.keep();
         head.keep_alive &= !connection.is_turned_away();
         match route(api, &head, body, connection) {
-            Next::Respond(response) => connection.answer(&response.encode(head.keep_alive))?,
-            Next::Counted(response, held) => {
+            RouteResult::Respond(response) => connection.answer(&response.encode(head.keep_alive))?,
+            RouteResult::Counted(response, held) => {
                 connection.answer(&response.encode(head.keep_alive))?;
                 drop(held);
             }
-            Next::Held(held) => *current = Some(held),
+            RouteResult::Held(held) => *current = Some(held),
         }
-        drop(kept);
+        drop(request_guard);
         if !head.keep_alive {
-            // Until a held call has its answer, and no more is written, the client may leave.
+            // The client may disconnect until the response to a held call is written.
             while current.is_some() && connection.state().0 == ClientState::Busy {
-                raw.bytes().clear();
-                match raw.fill(connection, chunk, LINGER) {
-                    Ok(0) => read_to_its_end(connection)?,
+                receive_buffer.bytes().clear();
+                match receive_buffer.fill(connection, chunk, LINGER) {
+                    Ok(0) => handle_end_of_input(connection)?,
                     Err(error) if error.kind() != ErrorKind::TimedOut => return Err(error),
                     _ => {}
                 }
@@ -183,43 +204,43 @@
     }
 }
 
-/// Nothing more will be read: the client has left, unless the reading side was shut here. Then what had come by that time
-/// is owed, and waited for a little.
-fn read_to_its_end(connection: &Connection) -> io::Result<()> {
+/// Handles the end of the input. It means that the client has disconnected, unless this process shut the reading side
+/// down; in that case requests that were received before are still answered, and this waits a little for that.
+fn handle_end_of_input(connection: &Connection) -> io::Result<()> {
     if !connection.is_shut() || connection.state().0 != ClientState::Busy {
         return Err(ErrorKind::UnexpectedEof.into());
     }
-    connection.wait_for_an_end(ANSWER_LOOK);
+    connection.wait_for_an_end(ANSWER_POLL_INTERVAL);
     Ok(())
 }
 
-/// Waits until the held call, if there is one, has its answer; whether that could be written. What the client sends
-/// ahead is read meanwhile, as far as it fits the chunk that is paid for; it is kept or thrown away. Its leaving is seen also
-/// behind what does not fit.
-fn answered(
+/// Waits until the held call, if there is one, is answered; returns whether the response could be written. Meanwhile,
+/// pipelined input of the client is read as far as it fits the chunk that is already reserved, and is kept or
+/// discarded. A disconnect is noticed even behind input that does not fit.
+fn wait_for_answer(
     connection: &Connection,
     ahead: &mut Intake,
     chunk: &mut [u8],
     current: &mut Option<Current>,
-    keep: bool,
+    keep_input: bool,
 ) -> io::Result<bool> {
     while current.as_ref().is_some_and(|before| !before.task.is_done()) {
-        if !keep {
+        if !keep_input {
             ahead.bytes().clear();
         }
         let room = CHUNK.saturating_sub(ahead.bytes().len());
         if room == 0 {
             if connection.is_hung_up() {
-                read_to_its_end(connection)?;
+                handle_end_of_input(connection)?;
             }
-            timers::sleep(ANSWER_LOOK);
+            timers::sleep(ANSWER_POLL_INTERVAL);
             continue;
         }
-        match ahead.fill(connection, &mut chunk[..room], ANSWER_LOOK) {
-            // The reading side was shut here with the answer, and what came before is owed.
+        match ahead.fill(connection, &mut chunk[..room], ANSWER_POLL_INTERVAL) {
+            // This process shut the reading side down with the answer; requests received before it are still answered.
             Ok(0) if connection.is_shut() && current.as_ref().is_some_and(|before| before.task.is_done()) => {
             }
-            Ok(0) => read_to_its_end(connection)?,
+            Ok(0) => handle_end_of_input(connection)?,
             Err(error) if error.kind() != ErrorKind::TimedOut => return Err(error),
             _ => {}
         }
@@ -227,14 +248,14 @@
     Ok(current.take().is_none_or(|before| before.task.join().unwrap_or(false)))
 }
 
-/// Answers what can't be read any further, after what came before it.
-fn refuse_to_read(
+/// Responds to a request that can't be read any further, after the responses to earlier requests.
+fn respond_and_close(
     connection: &Connection,
-    raw: &mut Intake,
+    receive_buffer: &mut Intake,
     chunk: &mut [u8],
     current: &mut Option<Current>,
     answer: Response,
 ) -> io::Result<()> {
-    answered(connection, raw, chunk, current, false)?;
+    wait_for_answer(connection, receive_buffer, chunk, current, false)?;
     connection.answer(&answer.encode(false))
 }
--- a/crates/node/src/wire/invoke/calls.rs
+++ b/crates/node/src/wire/invoke/calls.rs
@@ -1,6 +1,6 @@
-//! Calls of the invoke API: taken in, run and looked up, in both styles.
-use super::responses::{accepted, problem, refused, respond, unkept};
-use super::{Current, InvokeApi, Next, DEADLINE_HEADER};
+//! Calls of the invoke API in both styles: admission, execution and lookup.
+use super::responses::{accepted, answer_response, problem, refused, store_failure};
+use super::{Current, InvokeApi, RouteResult, DEADLINE_HEADER};
 use crate::core::{monotonic_ms, Answer, Call, Failure, NotTaken, Taken, UnixTime};
 use crate::life::spawn;
 use crate::memory::catalog::Function;
@@ -13,15 +13,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Longest wait for a withdrawn call to come to its end.
+/// Longest wait for a withdrawn call to finish.
 const WITHDRAW_WAIT: Duration = Duration::from_secs(2);
-const MAX_KEY: usize = 128;
-/// Advice to a client of a node that is about to end, in milliseconds.
-pub(super) const ENDING_MS: Ms = 1000.0;
-/// Advice to a client of a follower that has no configuration yet.
-const NOT_READY_MS: Ms = 1000.0;
+/// Maximum length of an idempotency key.
+const MAX_KEY_BYTES: usize = 128;
+/// `Retry-After` for clients of a node that is about to end.
+pub(super) const ENDING_RETRY_AFTER_MS: Ms = 1000.0;
+/// `Retry-After` for clients of a follower that has no configuration yet.
+const NOT_READY_RETRY_AFTER_MS: Ms = 1000.0;
 
-/// A call that may be run, or what its key is answered.
+/// The result of admission: a call to run, or the response to a repeat of an earlier call.
 pub(super) enum Admitted {
     Run(Box<Job>),
     Respond(Response),
@@ -31,25 +32,25 @@
 pub(super) struct Job {
     taken: Taken,
     key: Option<Key>,
-    /// Where the call is deferred.
+    /// For a deferred call: the record that its answer is written to.
     promise: Option<Promise>,
 }
 
-/// What a call's headers say, checked.
-struct Terms {
+/// Validated options of a call, from its headers and the settings of its class.
+struct CallOptions {
     id: RequestId,
     class: usize,
     tenant: Option<usize>,
-    /// When the call is given up on.
+    /// Deadline, in milliseconds of the monotonic clock.
     expires: Ms,
     is_deferred: bool,
     key: Option<Key>,
-    /// Until when a repeat of the key is answered as the first call was.
+    /// Until when a repeat of the key gets the answer to the first call, in milliseconds of the monotonic clock.
     repeats_until: Ms,
 }
 
 impl InvokeApi {
-    /// Reads a call and takes it in, unless it repeats an earlier one.
+    /// Validates and accepts a call, unless it repeats an earlier one.
     pub(super) fn admit(
         &self,
         name: &str,
@@ -57,36 +58,42 @@
         body: Vec<u8>,
     ) -> Result<Admitted, Box<Response>> {
         let function = self.catalog.function(name).ok_or_else(|| self.unknown_function(name))?;
-        let terms = self.terms(name, &function, head)?;
-        if let Some(response) = self.repeated(&terms, &body)? {
+        let options = self.options(name, &function, head)?;
+        if let Some(response) = self.repeated(&options, &body)? {
             return Ok(Admitted::Respond(response));
         }
-        let key = terms.key.clone();
-        self.take(name, &function, terms, body).inspect_err(|_| {
+        let key = options.key.clone();
+        self.accept(name, &function, options, body).inspect_err(|_| {
             key.iter().for_each(|key| self.invocations.forget(key));
         })
     }
 
-    /// What a call of a function without a record is told: nothing is unknown for good before the first copy is whole.
+    /// The response to a call of an unconfigured function. Until a follower has a complete copy of the configuration the
+    /// call is refused, as the function may exist.
     fn unknown_function(&self, name: &str) -> Response {
         if self.role.is_ready() {
             problem(404, "unknown-function", &format!("no function {name:?}"), Some(false))
         } else {
-            refused("this node has no whole copy of its configuration yet", Some(NOT_READY_MS))
+            refused("this node has no whole copy of its configuration yet", Some(NOT_READY_RETRY_AFTER_MS))
         }
     }
 
-    fn terms(&self, name: &str, function: &Function, head: &RequestHead) -> Result<Terms, Box<Response>> {
+    fn options(
+        &self,
+        name: &str,
+        function: &Function,
+        head: &RequestHead,
+    ) -> Result<CallOptions, Box<Response>> {
         let invoker = &self.invoker;
         let class = position(&invoker.names.classes, &function.class).ok_or_else(|| {
             problem(404, "unknown-class", "the function's class is unknown here", Some(false))
         })?;
-        let expires = invoker.came_at() + allowed(head, self.catalog.give_up(class))?;
+        let expires = invoker.came_at() + deadline_span(head, self.catalog.give_up(class))?;
         let (key, window) = match invoker.settings.classes[class].effect {
             Effect::Keyed(_, window) => (Some((name.to_string(), key_of(head)?)), window),
             _ => (None, 0.0),
         };
-        Ok(Terms {
+        Ok(CallOptions {
             id: RequestId(rand::random()),
             class,
             tenant: position(&invoker.names.tenants, &function.tenant),
@@ -97,17 +104,17 @@
         })
     }
 
-    /// What a call is answered whose key came before; none where it is the first, or has no key.
-    fn repeated(&self, terms: &Terms, body: &[u8]) -> Result<Option<Response>, Box<Response>> {
-        let Some(key) = &terms.key else { return Ok(None) };
-        match self.invocations.admit(key, terms.id, body, terms.repeats_until, terms.tenant) {
+    /// The response to a call whose key was used before; none for the first call with its key, or for one without a key.
+    fn repeated(&self, options: &CallOptions, body: &[u8]) -> Result<Option<Response>, Box<Response>> {
+        let Some(key) = &options.key else { return Ok(None) };
+        match self.invocations.admit(key, options.id, body, options.repeats_until, options.tenant) {
             Repeat::Fresh => Ok(None),
             Repeat::Done(first, _) | Repeat::Open(first)
-                if terms.is_deferred && self.invocations.get(first).is_some() =>
+                if options.is_deferred && self.invocations.get(first).is_some() =>
             {
                 Ok(Some(accepted(first)))
             }
-            Repeat::Done(_, answer) => Ok(Some(respond(&answer))),
+            Repeat::Done(_, answer) => Ok(Some(answer_response(&answer))),
             Repeat::Open(_) => {
                 let detail = "the first call with this key is still open";
                 Err(problem(409, "open", detail, Some(true)).into())
@@ -122,35 +129,35 @@
         }
     }
 
-    /// Takes a call in, and keeps its record where it is deferred.
-    fn take(
+    /// Accepts a call, and stores its record if it is deferred.
+    fn accept(
         &self,
         name: &str,
         function: &Function,
-        terms: Terms,
+        options: CallOptions,
         body: Vec<u8>,
     ) -> Result<Admitted, Box<Response>> {
-        let key_text = terms.key.as_ref().map(|key| key.1.clone());
-        let may_repeat = self.invoker.settings.classes[terms.class].effect == Effect::Repeatable;
-        let deferred = terms.is_deferred.then(|| Deferred {
+        let key_text = options.key.as_ref().map(|key| key.1.clone());
+        let may_repeat = self.invoker.settings.classes[options.class].effect == Effect::Repeatable;
+        let deferred = options.is_deferred.then(|| Deferred {
             function: name.to_string(),
             key: key_text.clone(),
             body_check: crc32fast::hash(&body),
-            repeats_until: UnixTime::of(terms.repeats_until),
-            repeats_for: terms.repeats_until - monotonic_ms(),
+            repeats_until: UnixTime::of(options.repeats_until),
+            repeats_for: options.repeats_until - monotonic_ms(),
             answer: None,
-            rerun: may_repeat.then(|| Rerun::new(body.clone(), terms.expires)),
+            rerun: may_repeat.then(|| Rerun::new(body.clone(), options.expires)),
         });
         let request = Request {
-            id: terms.id,
-            class: terms.class,
-            tenant: terms.tenant,
+            id: options.id,
+            class: options.class,
+            tenant: options.tenant,
             model: function.model(name),
             memory: function.memory_mb,
             lanes: f64::from(function.lanes),
             load_hint: None,
             cost_hint: function.cost_ms,
-            expires: terms.expires,
+            expires: options.expires,
         };
         let call = Call {
             request,
@@ -159,25 +166,25 @@
             key: key_text,
             body,
         };
-        let taken = self.invoker.take(call).map_err(|refusal| not_taken(&refusal))?;
-        let accept = |deferred| self.invocations.accept(terms.id, deferred, terms.tenant);
-        let promise = deferred.map(accept).transpose().map_err(|error| unkept(&error))?;
-        Ok(Admitted::Run(Box::new(Job { taken, key: terms.key, promise })))
+        let taken = self.invoker.take(call).map_err(|refusal| not_accepted(&refusal))?;
+        let store_promise = |deferred| self.invocations.accept(options.id, deferred, options.tenant);
+        let promise = deferred.map(store_promise).transpose().map_err(|error| store_failure(&error))?;
+        Ok(Admitted::Run(Box::new(Job { taken, key: options.key, promise })))
     }
 
-    /// The one path of every call, whatever its style.
+    /// Runs a call to its final answer, whatever its style.
     fn run(&self, taken: &Taken, key: Option<&Key>, promise: Option<Promise>) -> Answer {
         let answer = self.serve(taken, key);
         self.invocations.finish(taken.call().request.id, key, &answer, promise);
         answer
     }
 
-    /// Has a call served, and counts its answer.
+    /// Serves a call and counts its answer.
     pub(super) fn serve(&self, taken: &Taken, key: Option<&Key>) -> Answer {
         let answer = catch_unwind(AssertUnwindSafe(|| taken.serve()))
             .unwrap_or(Answer::Failed(Failure { may_have_run: true, late: false }));
         let answer = match answer {
-            // Another try is harmless only while workers know the key, and nobody can say when the client comes again.
+            // A retry is harmless only while the workers remember the key, and the client may retry after that.
             Answer::Refused { known, .. } if key.is_some() && known.may_have_run => Answer::Failed(known),
             answer => answer,
         };
@@ -185,13 +192,13 @@
         answer
     }
 
-    /// Starts the task of a call. A deferred one is accepted; it runs on without its client.
+    /// Starts the task of a call. A deferred call is answered with its acceptance and continues without the client.
     pub(super) fn start(
         self: &Arc<Self>,
         job: Box<Job>,
         keep_alive: bool,
         connection: &Arc<Connection>,
-    ) -> Next {
+    ) -> RouteResult {
         let (api, connection) = (self.clone(), connection.clone());
         let (id, is_deferred) = (job.taken.call().request.id, job.promise.is_some());
         if !is_deferred {
@@ -203,32 +210,34 @@
             if is_deferred {
                 return true;
             }
-            let gone = answer == Answer::Withdrawn;
-            let written = gone || connection.answer(&respond(&answer).encode(keep_alive)).is_ok();
+            let is_withdrawn = answer == Answer::Withdrawn;
+            let written =
+                is_withdrawn || connection.answer(&answer_response(&answer).encode(keep_alive)).is_ok();
             connection.closed();
             if !keep_alive {
-                // What the client still sends is read for a while: a close now would be a reset.
+                // Only the writing side is shut down: closing while the client still sends would reset the connection, and the
+                // client could lose the response.
                 connection.shut(Shutdown::Write);
             }
             written
         });
         if is_deferred {
-            Next::Respond(accepted(id))
+            RouteResult::Respond(accepted(id))
         } else {
-            Next::Held(Current { id, task })
+            RouteResult::Held(Current { id, task })
         }
     }
 
-    /// Tells how a deferred call stands, after that wait where it is still open.
+    /// Responds with the state of a deferred call, after waiting up to `wait` for one that is not finished.
     pub(super) fn look_up(&self, id: RequestId, wait: Duration) -> Response {
         match self.invocations.wait(id, wait) {
             None => problem(404, "unknown-invocation", "no such invocation", None),
-            Some((_, Deferred { answer: Some(answer), .. })) => respond(&answer),
+            Some((_, Deferred { answer: Some(answer), .. })) => answer_response(&answer),
             Some(_) => accepted(id),
         }
     }
 
-    /// Withdraws a deferred call; only the node that accepted it can.
+    /// Withdraws a deferred call. Only the node that accepted it can do so.
     pub(super) fn withdraw(&self, id: RequestId) -> Response {
         let Some((record, _)) = self.invocations.get(id) else {
             return problem(404, "unknown-invocation", "no such invocation", None);
@@ -250,8 +259,8 @@
     problem(400, "malformed", detail, Some(false)).into()
 }
 
-/// The client's time for a call in milliseconds, at most that of its class.
-fn allowed(head: &RequestHead, most: Ms) -> Result<Ms, Box<Response>> {
+/// The time that the client allows for a call, in milliseconds, limited to that of the call's class.
+fn deadline_span(head: &RequestHead, most: Ms) -> Result<Ms, Box<Response>> {
     let Some(text) = head.headers.get(&DEADLINE_HEADER.to_ascii_lowercase()) else { return Ok(most) };
     match text.parse::<u32>() {
         Ok(span) if span > 0 => Ok(f64::from(span).min(most)),
@@ -259,19 +268,19 @@
     }
 }
 
-/// The idempotency key of a call whose class wants one.
+/// The idempotency key of a call whose class requires one.
 fn key_of(head: &RequestHead) -> Result<String, Box<Response>> {
     let key = head.headers.get("idempotency-key").unwrap_or_default();
     let plain = key.bytes().all(|byte| byte.is_ascii_graphic() && byte != b',' && byte != b'=');
-    if key.is_empty() || key.len() > MAX_KEY || !plain {
+    if key.is_empty() || key.len() > MAX_KEY_BYTES || !plain {
         return Err(malformed("calls of this class carry an Idempotency-Key of 1 to 128 plain characters"));
     }
     Ok(key.to_string())
 }
 
-fn not_taken(refusal: &NotTaken) -> Response {
+fn not_accepted(refusal: &NotTaken) -> Response {
     match refusal {
-        NotTaken::Draining => refused("this node is about to end", Some(ENDING_MS)),
+        NotTaken::Draining => refused("this node is about to end", Some(ENDING_RETRY_AFTER_MS)),
         NotTaken::Crowded(span) => refused("there is no room for another call", Some(*span)),
         NotTaken::Open => refused("the id is taken", None),
     }
--- a/crates/node/src/wire/invoke/responses.rs
+++ b/crates/node/src/wire/invoke/responses.rs
@@ -1,5 +1,5 @@
-//! What the invoke API answers: final answers, problems, refusals.
-use super::calls::ENDING_MS;
+//! Responses of the invoke API: final answers, problems and refusals.
+use super::calls::ENDING_RETRY_AFTER_MS;
 use crate::core::{Answer, Failure};
 use crate::memory::catalog::CatalogError;
 use crate::memory::store::StoreError;
@@ -8,20 +8,25 @@
 use corkbay::{Ms, RequestId};
 use serde_json::json;
 
-pub(super) fn unreadable(error: &BadHttp) -> Response {
+/// The response to a request that is not valid HTTP or too long.
+pub(super) fn bad_request(error: &BadHttp) -> Response {
     let status = if *error == BadHttp::Long { 413 } else { 400 };
     problem(status, "malformed", &error.to_string(), Some(false))
 }
 
+/// The response when no memory is left for the request or its response.
 pub(super) fn no_room() -> Response {
-    refused("there is no room to read the request", Some(ENDING_MS))
+    refused("there is no room to read the request", Some(ENDING_RETRY_AFTER_MS))
 }
 
-pub(super) fn changed(end: Result<(), CatalogError>) -> Response {
+/// The response to a change of the configuration.
+pub(super) fn change_response(end: Result<(), CatalogError>) -> Response {
     match end {
         Ok(()) => Response::bare(204),
         Err(CatalogError::Value(what)) => problem(400, "malformed", &what, Some(false)),
-        Err(CatalogError::Store(error @ (StoreError::Log(_) | StoreError::Full { .. }))) => unkept(&error),
+        Err(CatalogError::Store(error @ (StoreError::Log(_) | StoreError::Full { .. }))) => {
+            store_failure(&error)
+        }
         Err(CatalogError::Store(error)) => problem(409, "conflict", &error.to_string(), Some(false)),
     }
 }
@@ -30,7 +35,8 @@
     Response::new(status, "application/json", serde_json::to_vec(value).unwrap_or_default())
 }
 
-/// Nothing ran and nothing was kept; advice in milliseconds, where coming again is of use.
+/// A refusal: the call did not run and no record was stored. `Retry-After` is given, from milliseconds, where a retry is
+/// useful.
 pub(super) fn refused(detail: &str, retry_after: Option<Ms>) -> Response {
     let response = problem(503, "refused", detail, Some(false));
     match retry_after {
@@ -39,21 +45,23 @@
     }
 }
 
-pub(super) fn unkept(error: &StoreError) -> Response {
+/// The response when a record could not be stored.
+pub(super) fn store_failure(error: &StoreError) -> Response {
     match error {
         StoreError::Full { retry_after, .. } => refused(&error.to_string(), *retry_after),
-        _ => refused(&error.to_string(), Some(ENDING_MS)),
+        _ => refused(&error.to_string(), Some(ENDING_RETRY_AFTER_MS)),
     }
 }
 
+/// The response that accepts a deferred call, with the path of its answer.
 pub(super) fn accepted(id: RequestId) -> Response {
     let location = format!("/v1/invocations/{:016x}", id.0);
     let body = json!({"id": format!("{:016x}", id.0), "state": "accepted"});
     json_response(202, &body).with("Location", location)
 }
 
-/// The response that carries a final answer, the same in every style.
-pub(super) fn respond(answer: &Answer) -> Response {
+/// The response with the final answer to a call, the same in both styles.
+pub(super) fn answer_response(answer: &Answer) -> Response {
     match answer {
         Answer::Served { body } => Response::new(200, "application/octet-stream", body.clone()),
         Answer::Refused { known: Failure { may_have_run, late: true }, .. } => {
@@ -74,8 +82,8 @@
     }
 }
 
-/// A follower's answer to a change of its configuration.
-pub(super) fn not_here(read_only: &ReadOnly) -> Response {
+/// The response of a follower to a change of its configuration.
+pub(super) fn read_only_response(read_only: &ReadOnly) -> Response {
     let detail = match read_only.control_api {
         Some(address) => {
             format!("this node follows a control node; change the configuration at http://{address}")
@@ -85,7 +93,7 @@
     problem(409, "follower", &detail, Some(false))
 }
 
-/// An error as problem+json; tells whether the call may have run, where there was one.
+/// An error as `application/problem+json`; states whether the call may have run, where the request was one.
 pub(super) fn problem(status: u16, kind: &str, detail: &str, may_have_run: Option<bool>) -> Response {
     let mut body = json!({
         "type": format!("urn:corkbay:problem:{kind}"),
--- a/crates/node/src/wire/invoke/resume.rs
+++ b/crates/node/src/wire/invoke/resume.rs
@@ -1,4 +1,4 @@
-//! Deferred calls that a process before this one accepted and did not finish, and whose class may be repeated.
+//! Resumes deferred calls that an earlier process accepted and did not finish, if their class may be repeated.
 use super::InvokeApi;
 use crate::core::{monotonic_ms, Answer, Call, Failure, NotTaken, Taken};
 use crate::life::spawn;
@@ -8,12 +8,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Pause between two tries to find room for a call.
-const ROOM_PAUSE: Duration = Duration::from_millis(50);
+/// Pause between two attempts to have a call accepted while the invoker is full.
+const FULL_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
 impl InvokeApi {
-    /// Runs again, in what is left of its time, each call that was found open at the start; one that can't be run again
-    /// fails, as it may have run.
+    /// Runs each call again that was found unfinished at the start, within the time left to its deadline. A call that
+    /// can't be run again fails with "may have run".
     pub fn resume(self: &Arc<Self>) {
         let calls = self.invocations.take_resumable();
         if calls.is_empty() {
@@ -31,16 +31,16 @@
         else {
             return self.fail_resumed(&deferred, promise, id, false);
         };
-        match self.take_again(call) {
+        match self.accept_again(call) {
             Some(taken) => {
                 let api = self.clone();
-                spawn(move || api.run_again(&taken, promise));
+                spawn(move || api.run_accepted(&taken, promise));
             }
             None => self.fail_resumed(&deferred, promise, id, true),
         }
     }
 
-    /// The call as it was; none where its function has gone or may no longer be repeated.
+    /// Rebuilds the call; none when its function was removed or may no longer be repeated.
     fn call_again(&self, deferred: &Deferred, request: Request, body: Vec<u8>) -> Option<Call> {
         let name = deferred.function.clone();
         let function = self.catalog.function(&name)?;
@@ -60,21 +60,21 @@
         Some(Call { request, class_name: function.class.clone(), function: name, key: None, body })
     }
 
-    /// Takes the call in once there is room; none where its time is up before that.
-    fn take_again(&self, call: Call) -> Option<Taken> {
+    /// Submits the call until there is room for it; none when its deadline passes first, or when it can't be accepted.
+    fn accept_again(&self, call: Call) -> Option<Taken> {
         while monotonic_ms() < call.request.expires {
             match self.invoker.take(call.clone()) {
                 Ok(taken) => return Some(taken),
-                Err(NotTaken::Crowded(_)) => timers::sleep(ROOM_PAUSE),
+                Err(NotTaken::Crowded(_)) => timers::sleep(FULL_RETRY_PAUSE),
                 Err(NotTaken::Open | NotTaken::Draining) => return None,
             }
         }
         None
     }
 
-    fn run_again(&self, taken: &Taken, promise: Promise) {
+    fn run_accepted(&self, taken: &Taken, promise: Promise) {
         let answer = match self.serve(taken, None) {
-            // The earlier process may have had it run.
+            // An attempt of the earlier process may have run.
             Answer::Refused { retry_after, known } => {
                 Answer::Refused { retry_after, known: Failure { may_have_run: true, ..known } }
             }
