--- a/crates/node/src/wire/http.rs
+++ b/crates/node/src/wire/http.rs
@@ -1,29 +1,29 @@
-//! HTTP/1.1 messages as bytes in and messages out, bounded; no sockets.
+//! Parser and encoder of HTTP/1.1 messages with size limits; works on byte buffers without sockets.
 use std::fmt::{self, Write};
 
-/// Largest head of a message.
-pub const MAX_HEAD: usize = 16 << 10;
+/// Maximum size of a message's head, in bytes.
+pub const MAX_HEAD_BYTES: usize = 16 << 10;
 const MAX_HEADERS: usize = 64;
 
-/// Why bytes are no message that is read here.
+/// Why bytes are not a message that this parser accepts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BadHttp {
-    /// The head is no HTTP or too long.
+    /// The head is not valid HTTP, or too long.
     Head,
-    /// The length of the body is told twice, oddly or not in a form that is read.
+    /// The length of the body is declared more than once, malformed or in an unsupported coding.
     Length,
     /// The chunked framing is broken.
     Chunk,
-    /// The body is longer than is read.
+    /// The body exceeds the limit.
     Long,
 }
 
 impl fmt::Display for BadHttp {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            BadHttp::Head => "head is no HTTP",
-            BadHttp::Length => "length of the body is unclear",
-            BadHttp::Chunk => "chunked body is broken",
+            BadHttp::Head => "head is not valid HTTP or too long",
+            BadHttp::Length => "body length is ambiguous, malformed or in an unsupported coding",
+            BadHttp::Chunk => "chunked framing of the body is malformed",
             BadHttp::Long => "body is too long",
         })
     }
@@ -31,20 +31,20 @@
 
 impl std::error::Error for BadHttp {}
 
-/// Headers in the order they came; names in lower case.
+/// Headers in the order of the message; names in lower case.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Headers(Vec<(String, String)>);
 
 impl Headers {
     fn read(parsed: &[httparse::Header<'_>]) -> Result<Self, BadHttp> {
-        let text = |header: &httparse::Header<'_>| {
+        let decode = |header: &httparse::Header<'_>| {
             let value = std::str::from_utf8(header.value).map_err(|_| BadHttp::Head)?;
             Ok((header.name.to_ascii_lowercase(), value.trim().to_string()))
         };
-        parsed.iter().map(text).collect::<Result<_, _>>().map(Headers)
+        parsed.iter().map(decode).collect::<Result<_, _>>().map(Headers)
     }
 
-    /// The first value of a header, its name in lower case.
+    /// The first value of a header; `name` is in lower case.
     pub fn get(&self, name: &str) -> Option<&str> {
         self.0.iter().find(|header| header.0 == name).map(|header| header.1.as_str())
     }
@@ -60,25 +60,25 @@
     }
 }
 
-/// What is left of a message's body.
+/// Decoder state of a message's body: what remains of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Body {
-    /// So many bytes.
+    /// This many bytes.
     Length(usize),
-    /// So many bytes of the present chunk; 0 where a chunk's head is due.
+    /// This many bytes of the current chunk; 0 when the header of a chunk comes next.
     Chunked(usize),
     /// The trailer after the last chunk.
     Trailer,
-    /// Until the connection ends.
+    /// All bytes until the connection ends.
     ToEnd,
-    /// Nothing.
+    /// The body is complete.
     Done,
 }
 
 impl Body {
-    fn of(headers: &Headers, otherwise: Body) -> Result<Body, BadHttp> {
+    fn of(headers: &Headers, default: Body) -> Result<Body, BadHttp> {
         match (headers.get("transfer-encoding"), headers.get("content-length")) {
-            // Both at once, or either twice, is how requests are smuggled past a front.
+            // Both headers at once, or either one twice, allow request smuggling past a proxy.
             (Some(_), Some(_)) => Err(BadHttp::Length),
             (Some(coding), None) if coding.eq_ignore_ascii_case("chunked") => Ok(Body::Chunked(0)),
             (Some(_), None) => Err(BadHttp::Length),
@@ -87,68 +87,73 @@
                 length.parse().ok().filter(|_| digits).map(Body::Length).ok_or(BadHttp::Length)
             }
             (None, Some(_)) => Err(BadHttp::Length),
-            (None, None) => Ok(otherwise),
+            (None, None) => Ok(default),
         }
     }
 
-    /// Moves what belongs to the body from `raw` to `body`; true once it is whole. No more than `most`
-    /// bytes may stand in `body`.
-    pub fn feed(&mut self, raw: &mut Vec<u8>, body: &mut Vec<u8>, most: usize) -> Result<bool, BadHttp> {
+    /// Moves the bytes of the body from `input` to `body`, which may hold at most `max_bytes` bytes. True once the body
+    /// is complete.
+    pub fn feed(
+        &mut self,
+        input: &mut Vec<u8>,
+        body: &mut Vec<u8>,
+        max_bytes: usize,
+    ) -> Result<bool, BadHttp> {
         loop {
             match *self {
                 Body::Length(0) | Body::Done => {
                     *self = Body::Done;
                     return Ok(true);
                 }
-                Body::Length(left) => {
-                    if body.len() + left > most {
+                Body::Length(remaining) => {
+                    if body.len() + remaining > max_bytes {
                         return Err(BadHttp::Long);
                     }
-                    let size = left.min(raw.len());
-                    body.extend(raw.drain(..size));
-                    *self = Body::Length(left - size);
-                    if size < left {
+                    let size = remaining.min(input.len());
+                    body.extend(input.drain(..size));
+                    *self = Body::Length(remaining - size);
+                    if size < remaining {
                         return Ok(false);
                     }
                 }
                 Body::Chunked(0) => {
-                    // A chunk's head may follow the line end of the chunk before it.
-                    let skip = if raw.starts_with(b"\r\n") { 2 } else { 0 };
-                    match httparse::parse_chunk_size(&raw[skip..]) {
+                    // The line end of the previous chunk may precede the header of a chunk.
+                    let skip = if input.starts_with(b"\r\n") { 2 } else { 0 };
+                    match httparse::parse_chunk_size(&input[skip..]) {
                         Ok(httparse::Status::Complete((used, size))) => {
-                            raw.drain(..skip + used);
+                            input.drain(..skip + used);
                             let size = usize::try_from(size).unwrap_or(usize::MAX);
-                            if size > most.saturating_sub(body.len()) {
+                            if size > max_bytes.saturating_sub(body.len()) {
                                 return Err(BadHttp::Long);
                             }
                             *self = if size == 0 { Body::Trailer } else { Body::Chunked(size) };
                         }
-                        Ok(httparse::Status::Partial) if raw.len() <= MAX_HEAD => return Ok(false),
+                        Ok(httparse::Status::Partial) if input.len() <= MAX_HEAD_BYTES => return Ok(false),
                         _ => return Err(BadHttp::Chunk),
                     }
                 }
-                Body::Chunked(left) => {
-                    let size = left.min(raw.len());
-                    body.extend(raw.drain(..size));
-                    *self = Body::Chunked(left - size);
-                    if size < left {
+                Body::Chunked(remaining) => {
+                    let size = remaining.min(input.len());
+                    body.extend(input.drain(..size));
+                    *self = Body::Chunked(remaining - size);
+                    if size < remaining {
                         return Ok(false);
                     }
                 }
-                Body::Trailer => match raw.windows(2).position(|pair| pair == b"\r\n") {
+                Body::Trailer => match input.windows(2).position(|pair| pair == b"\r\n") {
                     Some(0) => {
-                        raw.drain(..2);
+                        input.drain(..2);
                         *self = Body::Done;
                     }
-                    Some(end) => _ = raw.drain(..end + 2),
-                    None if raw.len() <= MAX_HEAD => return Ok(false),
+                    Some(end) => _ = input.drain(..end + 2),
+                    None if input.len() <= MAX_HEAD_BYTES => return Ok(false),
                     None => return Err(BadHttp::Chunk),
                 },
                 Body::ToEnd => {
-                    if body.len() + raw.len() > most {
+                    if body.len() + input.len() > max_bytes {
                         return Err(BadHttp::Long);
                     }
-                    body.append(raw);
+                    body.append(input);
                     return Ok(false);
                 }
             }
@@ -156,7 +161,7 @@
     }
 }
 
-/// A request's head.
+/// The head of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestHead {
     /// The method.
@@ -165,20 +170,20 @@
     pub path: String,
     /// The headers.
     pub headers: Headers,
-    /// The connection stays open after the answer.
+    /// Whether the connection stays open after the response.
     pub keep_alive: bool,
-    /// The form of its body.
+    /// How the body is framed.
     pub body: Body,
 }
 
 impl RequestHead {
-    /// Takes a head off the front of `raw`; `None` while it is not whole.
-    pub fn decode(raw: &mut Vec<u8>) -> Result<Option<Self>, BadHttp> {
+    /// Removes a head from the front of `input`; `None` while it is incomplete.
+    pub fn decode(input: &mut Vec<u8>) -> Result<Option<Self>, BadHttp> {
         let mut parsed = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut request = httparse::Request::new(&mut parsed);
-        let size = match request.parse(raw) {
+        let size = match request.parse(input) {
             Ok(httparse::Status::Complete(size)) => size,
-            Ok(httparse::Status::Partial) if raw.len() <= MAX_HEAD => return Ok(None),
+            Ok(httparse::Status::Partial) if input.len() <= MAX_HEAD_BYTES => return Ok(None),
             _ => return Err(BadHttp::Head),
         };
         let headers = Headers::read(request.headers)?;
@@ -191,74 +196,74 @@
             body: Body::of(&headers, Body::Length(0))?,
             headers,
         };
-        raw.drain(..size);
+        input.drain(..size);
         Ok(Some(head))
     }
 }
 
-/// A response's head.
+/// The head of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResponseHead {
     /// The status code.
     pub status: u16,
     /// The headers.
     pub headers: Headers,
-    /// The form of its body.
+    /// How the body is framed.
     pub body: Body,
 }
 
 impl ResponseHead {
-    /// Takes a head off the front of `raw`; `None` while it is not whole. Interim responses are passed over.
-    pub fn decode(raw: &mut Vec<u8>) -> Result<Option<Self>, BadHttp> {
+    /// Removes a head from the front of `input`; `None` while it is incomplete. Interim responses (1xx) are skipped.
+    pub fn decode(input: &mut Vec<u8>) -> Result<Option<Self>, BadHttp> {
         loop {
             let mut parsed = [httparse::EMPTY_HEADER; MAX_HEADERS];
             let mut response = httparse::Response::new(&mut parsed);
-            let size = match response.parse(raw) {
+            let size = match response.parse(input) {
                 Ok(httparse::Status::Complete(size)) => size,
-                Ok(httparse::Status::Partial) if raw.len() <= MAX_HEAD => return Ok(None),
+                Ok(httparse::Status::Partial) if input.len() <= MAX_HEAD_BYTES => return Ok(None),
                 _ => return Err(BadHttp::Head),
             };
             let status = response.code.unwrap_or(0);
             let headers = Headers::read(response.headers)?;
-            raw.drain(..size);
+            input.drain(..size);
             if !(100..200).contains(&status) {
-                let bare = status == 204 || status == 304;
-                let body = if bare { Body::Done } else { Body::of(&headers, Body::ToEnd)? };
+                let has_no_body = status == 204 || status == 304;
+                let body = if has_no_body { Body::Done } else { Body::of(&headers, Body::ToEnd)? };
                 return Ok(Some(ResponseHead { status, headers, body }));
             }
         }
     }
 }
 
-/// A response to be written.
+/// A response to write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response {
     /// The status code.
     pub status: u16,
-    /// Headers but for the length and the connection.
+    /// Headers except `Content-Length` and `Connection`, which are added on encoding.
     pub headers: Vec<(&'static str, String)>,
     /// The body.
     pub body: Vec<u8>,
 }
 
 impl Response {
-    /// A response with a body of a type.
+    /// Creates a response with a body and its media type.
     pub fn new(status: u16, kind: &str, body: Vec<u8>) -> Self {
         Response { status, headers: vec![("Content-Type", kind.to_string())], body }
     }
 
-    /// A response with no body.
+    /// Creates a response without a body.
     pub fn bare(status: u16) -> Self {
         Response { status, headers: Vec::new(), body: Vec::new() }
     }
 
-    /// The same with one more header.
+    /// Adds a header.
     pub fn with(mut self, name: &'static str, value: impl fmt::Display) -> Self {
         self.headers.push((name, value.to_string()));
         self
     }
 
-    /// Its bytes.
+    /// Encodes the response.
     pub fn encode(&self, keep_alive: bool) -> Vec<u8> {
         let mut head = format!("HTTP/1.1 {} {}\r\n", self.status, reason(self.status));
         for (name, value) in &self.headers {
@@ -274,7 +279,7 @@
     }
 }
 
-/// The usual phrase of a status.
+/// The standard reason phrase of a status code.
 pub fn reason(status: u16) -> &'static str {
     match status {
         200 => "OK",
--- a/crates/node/src/wire/index.rs
+++ b/crates/node/src/wire/index.rs
@@ -1,6 +1,6 @@
-//! Hashes over the records of a store, kept up to date record by record.
+//! Hashes over the records of a store, updated incrementally with each changed record.
 //!
-//! Two nodes that have the same hashes hold the same records; where they differ, the hashes tell in which buckets.
+//! Nodes with equal hashes hold the same records; otherwise the hashes show which buckets differ.
 use crate::clock::UnixTime;
 use crate::memory::keys::{is_node_local, CONFIGURATION};
 use crate::memory::record::Record;
@@ -12,12 +12,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// What an entry takes: itself and its place in a map, with the room that such maps leave free.
+/// Memory that an entry is charged for: the entry and its key in a map, doubled for the free space of the map's nodes.
 const ENTRY_BYTES: usize = 2 * (std::mem::size_of::<Entry>() + std::mem::size_of::<Arc<str>>());
-/// About what the names of the fields and the numbers of a record take in a message.
-const MESSAGE_OVERHEAD: usize = 100;
-/// Records that are read at a time while the index is built.
-const PAGE: usize = 64;
+/// Approximate size of the field names and numbers of a record in a message.
+const MESSAGE_OVERHEAD_BYTES: usize = 100;
+/// Number of records that are read at a time while the index is built.
+const RECORDS_PER_PAGE: usize = 64;
 
 impl FeedRecord for Record {
     fn key(&self) -> &Arc<str> {
@@ -36,7 +36,7 @@
     }
 
     fn size(&self) -> usize {
-        MESSAGE_OVERHEAD + self.key.len() + self.node.len() + self.text().len()
+        MESSAGE_OVERHEAD_BYTES + self.key.len() + self.node.len() + self.text().len()
     }
 
     fn version(&self) -> u64 {
@@ -53,12 +53,12 @@
 pub enum Scope {
     /// Functions and workers.
     Configuration,
-    /// All that peers share: configuration and deferred calls.
+    /// All records that peers share: configuration and deferred calls.
     Shared,
 }
 
 impl Scope {
-    /// Whether a record of that key is covered.
+    /// Whether the scope covers records with this key.
     pub fn contains(self, key: &str) -> bool {
         match self {
             Scope::Configuration => CONFIGURATION.iter().any(|prefix| key.starts_with(prefix)),
@@ -67,7 +67,7 @@
     }
 }
 
-/// What the index keeps of a record.
+/// The data that the index keeps of a record.
 #[derive(Clone, Debug)]
 struct Entry {
     key: Arc<str>,
@@ -84,7 +84,8 @@
         Entry { key: record.key.clone(), hash: FeedRecord::hash(record), version, expires, purpose }
     }
 
-    /// Its place among those that expire; `None` for one that does not. Times are whole milliseconds, rounded up.
+    /// The sort key among entries that expire: time in whole milliseconds, rounded up, and key. `None` for an entry
+    /// that does not expire.
     fn expiry(&self) -> Option<(u64, Arc<str>)> {
         (!self.expires.is_none()).then(|| (self.expires.as_ms().ceil() as u64, self.key.clone()))
     }
@@ -112,7 +113,7 @@
     }
 }
 
-/// The hashes of a store's records, by bucket and by key.
+/// Hashes of a store's records, by bucket and by key.
 pub struct RecordIndex {
     scope: Scope,
     hashes: BucketIndex,
@@ -122,7 +123,7 @@
 }
 
 impl RecordIndex {
-    /// An index of no records, which counts with the records that it covers.
+    /// Creates an empty index. Its memory is charged to the accounts of the records that it covers.
     pub fn new(scope: Scope, ledger: Arc<Ledger>) -> Self {
         RecordIndex {
             scope,
@@ -133,15 +134,16 @@
         }
     }
 
-    /// The index of a store, and what is to be [noted](Self::note) from now on.
+    /// Creates the index of a store, and returns the changes that have to be [applied](Self::note) from then on.
     pub fn of_store(scope: Scope, store: &Store) -> (Self, mpsc::Receiver<Record>) {
         let (sender, changes) = mpsc::channel();
-        // Records that come in meanwhile are met both ways.
+        // Subscribed before the scan, so that no change is missed; a record that changes during the scan may be
+        // applied twice.
         store.on_change(sender);
         let mut index = RecordIndex::new(scope, store.ledger().clone());
         match scope {
             Scope::Configuration => {
-                let records = store.configuration(PAGE).flatten();
+                let records = store.configuration(RECORDS_PER_PAGE).flatten();
                 records.for_each(|record| index.note(&record));
             }
             Scope::Shared => {
@@ -152,7 +154,7 @@
         (index, changes)
     }
 
-    /// Takes in a record that newly stands; one that is not covered changes nothing.
+    /// Applies a new version of a record. Ignores records outside the scope.
     pub fn note(&mut self, record: &Record) {
         if !self.scope.contains(&record.key) {
             return;
@@ -165,7 +167,7 @@
         self.bucket_mut(&record.key).insert(entry.key.clone(), entry);
     }
 
-    /// Leaves out what has expired.
+    /// Removes expired records.
     pub fn expire(&mut self, now: UnixTime) {
         while let Some((at, _)) = self.expiries.first() {
             if *at as f64 > now.as_ms() {
@@ -176,12 +178,12 @@
         }
     }
 
-    /// The hashes of the buckets.
+    /// The hashes of all buckets.
     pub fn hashes(&self) -> BucketHashes {
         self.hashes.hashes()
     }
 
-    /// One hash over all.
+    /// A single hash over all buckets.
     pub fn root(&self) -> u64 {
         root_of(&self.hashes())
     }
@@ -205,12 +207,12 @@
     }
 }
 
-/// One hash over the hashes of all buckets.
+/// A single hash over the hashes of all buckets.
 pub fn root_of(hashes: &BucketHashes) -> u64 {
     stable_hash(&[String::from(hashes.clone()).as_bytes()])
 }
 
-/// What entries take, counted in the accounts of their records.
+/// Reservations for the memory of entries, in the accounts of their records.
 struct HeldByPurpose {
     ledger: Arc<Ledger>,
     reservations: BTreeMap<Purpose, Reservation>,
--- a/crates/node/src/wire/index/tests.rs
+++ b/crates/node/src/wire/index/tests.rs
@@ -23,9 +23,9 @@
 }
 
 proptest! {
-    /// Guards incremental hashes: what stood under a key before leaves no trace, whatever the order of the keys.
+    /// Incremental hashes must equal those of the current records: earlier versions and the order of changes leave no trace.
     #[test]
-    fn the_hashes_are_those_of_the_records_that_stand(
+    fn hashes_depend_only_on_the_current_records(
         versions in proptest::collection::vec((0u8..20, 1u64..5), 0..60),
     ) {
         let changes: Vec<Record> = versions
@@ -34,14 +34,14 @@
             .collect();
         let last: BTreeMap<Arc<str>, Record> =
             changes.iter().map(|record| (record.key.clone(), record.clone())).collect();
-        let standing: Vec<Record> = last.into_values().rev().collect();
-        prop_assert_eq!(index_of(&changes).hashes(), index_of(&standing).hashes());
+        let current: Vec<Record> = last.into_values().rev().collect();
+        prop_assert_eq!(index_of(&changes).hashes(), index_of(&current).hashes());
     }
 }
 
-/// Guards nodes that forget what has expired at different times: it counts nowhere from that time on.
+/// Nodes delete expired records at different times. The hashes must exclude a record from its expiry on, so that they agree.
 #[test]
-fn what_has_expired_counts_no_more() {
+fn expired_records_are_excluded() {
     let ledger = roomy();
     let mut index = RecordIndex::new(Scope::Shared, ledger.clone());
     let empty = index.root();
@@ -54,22 +54,22 @@
     assert_eq!(ledger.held(), 0);
 }
 
-/// Guards what leaves the node: node-local records are in no index, deferred calls in that of peers only.
+/// Node-local records must not leave the node, so no index covers them; only the index of peers covers deferred calls.
 #[test]
-fn the_scopes_leave_out_what_is_not_theirs() {
+fn scopes_exclude_records_of_other_kinds() {
     let keys = ["function/f", "worker/w", "invocation/1", "seed/n/function/f", "local/feed-position"];
     let in_scope = |scope: Scope| keys.iter().filter(|key| scope.contains(key)).count();
     assert_eq!((in_scope(Scope::Configuration), in_scope(Scope::Shared)), (2, 3));
 }
 
 #[test]
-fn an_index_of_a_store_covers_what_it_holds_and_is_told_the_rest() {
+fn an_index_of_a_store_covers_its_records_and_later_changes() {
     let store = Store::in_memory("n", roomy());
     store.put(&mut Draft::new("function/a", Text::of(&1).ok())).expect("room");
     store.put(&mut Draft::new("function/b", None)).expect("a tombstone");
     let (mut index, changes) = RecordIndex::of_store(Scope::Configuration, &store);
     store.put(&mut Draft::new("function/a", Text::of(&2).ok())).expect("room");
     changes.try_iter().for_each(|record| index.note(&record));
-    let standing = ["function/a", "function/b"].map(|key| store.get(key).expect("stands"));
-    assert_eq!(index.hashes(), index_of(&standing).hashes());
+    let current = ["function/a", "function/b"].map(|key| store.get(key).expect("a current record"));
+    assert_eq!(index.hashes(), index_of(&current).hashes());
 }
--- a/crates/node/src/wire/mod.rs
+++ b/crates/node/src/wire/mod.rs
@@ -1,4 +1,5 @@
-//! What is spoken on the wire. Codecs are pure and bounded; each has its sockets in a module beside it.
+//! Network protocols. Codecs do no I/O and bound the size of what they accept; the code that uses sockets is in
+//! modules of its own.
 pub mod accept;
 pub mod channel;
 pub mod feed;
--- a/crates/node/src/wire/news.rs
+++ b/crates/node/src/wire/news.rs
@@ -1,29 +1,29 @@
-//! What records of other nodes change for this one.
+//! Notices about records that were received from other nodes.
 use crate::memory::keys::{INVOCATION, WORKER};
 use crate::memory::record::Record;
 use std::sync::Arc;
 
-/// The kinds of records that came in. Functions are read from the store with each call and need no notice.
+/// The kinds of records that were received. Functions are read from the store with each call and need no notice.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct News {
-    /// Workers: the decisions are to be told.
+    /// Worker records: the scheduler has to be notified.
     pub workers: bool,
-    /// Deferred calls: somebody may be waiting for one.
+    /// Records of deferred calls: clients that wait for one have to be woken.
     pub invocations: bool,
 }
 
 impl News {
-    /// The kinds of these records.
+    /// Collects the kinds of the given records.
     pub fn of(records: &[Record]) -> Self {
         let has = |prefix: &str| records.iter().any(|record| record.key.starts_with(prefix));
         News { workers: has(WORKER), invocations: has(INVOCATION) }
     }
 
-    /// Whether there is nothing to tell.
+    /// Whether no kind needs a notice.
     pub fn is_empty(self) -> bool {
         self == News::default()
     }
 }
 
-/// Called after records of other nodes came in.
+/// Called after records of other nodes were stored.
 pub type OnNews = Arc<dyn Fn(News) + Send + Sync>;
--- a/crates/node/src/wire/operators.rs
+++ b/crates/node/src/wire/operators.rs
@@ -1,4 +1,5 @@
-//! The operators' address: HTTP/1.1, one call a connection. Each call is answered at once or not at all.
+//! The operators' API: HTTP/1.1 with one call per connection. A call is answered at once; a caller that is too slow gets
+//! no answer.
 use super::accept::Connection;
 use super::http::{BadHttp, RequestHead, Response};
 use super::intake::{Intake, CHUNK};
@@ -13,43 +14,44 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Callers at a time, one descriptor each. They are few people and one front; more push out whoever finishes nothing.
+/// Maximum number of concurrent connections, one descriptor each. The callers are a few people and one load balancer.
+/// When all are in use, a new connection replaces one that has not completed a request.
 pub const SEATS: usize = 12;
-/// From a caller's first byte to its last; it waits 1 s for an answer, but may take its time to ask.
-const CALL_MS: Ms = 5000.0;
-/// How long a caller may let its answer stand unread.
+/// Longest time to receive a whole request. Callers wait 1 s for an answer, but may send their request slowly.
+const REQUEST_TIMEOUT_MS: Ms = 5000.0;
+/// Time without progress after which writing a response fails.
 pub const WRITE_STALL: Duration = Duration::from_secs(1);
-/// Largest body that is read and left unused.
-const MAX_BODY: usize = 4096;
-/// How long a caller is listened to after its answer, so that a close over unread bytes resets nothing.
+/// Maximum size of a request's body; bodies are read and ignored.
+const MAX_BODY_BYTES: usize = 4096;
+/// How long the connection is read after the response: closing it with unread bytes would reset it.
 const LINGER: Duration = Duration::from_millis(100);
 
-/// What is called.
+/// A parsed call.
 #[derive(Debug, PartialEq, Eq)]
-enum Call {
+enum OperatorCall {
     Ready,
     Command(OperatorCommand),
 }
 
-impl Call {
-    /// Its place among the counters.
-    fn place(&self) -> usize {
+impl OperatorCall {
+    /// Index of its counters.
+    fn counter_index(&self) -> usize {
         match self {
-            Call::Ready => 0,
-            Call::Command(OperatorCommand::Suspend(_)) => 1,
-            Call::Command(OperatorCommand::Resume(_)) => 2,
-            Call::Command(OperatorCommand::Drain) => 3,
-            Call::Command(OperatorCommand::Activate) => 4,
+            OperatorCall::Ready => 0,
+            OperatorCall::Command(OperatorCommand::Suspend(_)) => 1,
+            OperatorCall::Command(OperatorCommand::Resume(_)) => 2,
+            OperatorCall::Command(OperatorCommand::Drain) => 3,
+            OperatorCall::Command(OperatorCommand::Activate) => 4,
         }
     }
 }
 
-/// What a call comes to; its status code, and what is told of it.
-struct Reply(u16, serde_json::Value);
+/// The reply to a call: status code and JSON body.
+struct CallReply(u16, serde_json::Value);
 
-/// The life of one connection.
+/// Serves one connection until it ends.
 pub fn serve(invoker: &Arc<Invoker>, overrides: &OverridesHandle, connection: &Arc<Connection>) {
-    let Some(response) = converse(invoker, overrides, connection) else { return };
+    let Some(response) = serve_call(invoker, overrides, connection) else { return };
     let counters = &invoker.counters;
     if response.status < 300 { &counters.operators_yes } else { &counters.operators_no }.add();
     if connection.answer(&response.encode(false)).is_ok() {
@@ -58,52 +60,54 @@
     connection.shut(Shutdown::Both);
 }
 
-/// Reads the call and answers it; `None` where the caller left or took too long.
-fn converse(
+/// Reads a call and executes it; `None` when the caller disconnected or was too slow.
+fn serve_call(
     invoker: &Invoker,
     overrides: &OverridesHandle,
     connection: &Arc<Connection>,
 ) -> Option<Response> {
-    let (mut raw, mut chunk) = (Intake::new(connection.account(), Purpose::Operators), vec![0; CHUNK]);
-    let end = monotonic_ms() + CALL_MS;
-    let mut fill = |raw: &mut Intake| match raw.fill(connection, &mut chunk, until(end)) {
+    let (mut receive_buffer, mut chunk) =
+        (Intake::new(connection.account(), Purpose::Operators), vec![0; CHUNK]);
+    let end = monotonic_ms() + REQUEST_TIMEOUT_MS;
+    let mut fill = |receive_buffer: &mut Intake| match receive_buffer.fill(connection, &mut chunk, until(end))
+    {
         Ok(1..) if monotonic_ms() < end => Some(()),
         _ => None,
     };
     let mut head = loop {
-        match RequestHead::decode(raw.bytes()) {
+        match RequestHead::decode(receive_buffer.bytes()) {
             Ok(Some(head)) => break head,
-            Ok(None) => fill(&mut raw)?,
-            Err(error) => return Some(unreadable(error)),
+            Ok(None) => fill(&mut receive_buffer)?,
+            Err(error) => return Some(bad_request(error)),
         }
     };
     let mut body = Vec::new();
     loop {
-        match head.body.feed(raw.bytes(), &mut body, MAX_BODY) {
+        match head.body.feed(receive_buffer.bytes(), &mut body, MAX_BODY_BYTES) {
             Ok(true) => break,
-            Ok(false) => fill(&mut raw)?,
-            Err(error) => return Some(unreadable(error)),
+            Ok(false) => fill(&mut receive_buffer)?,
+            Err(error) => return Some(bad_request(error)),
         }
     }
     Some(match route(&head.method, &head.path) {
         Ok(call) => {
-            let Reply(status, told) = match &call {
-                Call::Ready => ready(invoker),
-                Call::Command(command) => {
+            let CallReply(status, body_json) = match &call {
+                OperatorCall::Ready => readiness(invoker),
+                OperatorCall::Command(command) => {
                     let end = overrides.execute(command.clone());
                     tracing::info!(?command, ?end, "operators");
-                    executed(command, end)
+                    command_reply(command, end)
                 }
             };
-            let [yes, no] = &invoker.counters.operators[call.place()];
+            let [yes, no] = &invoker.counters.operators[call.counter_index()];
             if status < 300 { yes } else { no }.add();
-            Response::new(status, "application/json", told.to_string().into_bytes())
+            Response::new(status, "application/json", body_json.to_string().into_bytes())
         }
         Err(response) => response,
     })
 }
 
-fn unreadable(error: BadHttp) -> Response {
+fn bad_request(error: BadHttp) -> Response {
     problem(if error == BadHttp::Long { 413 } else { 400 }, &error.to_string())
 }
 
@@ -112,15 +116,19 @@
     Response::new(status, "application/problem+json", text.into_bytes())
 }
 
-/// The call of a method and path.
-fn route(method: &str, path: &str) -> Result<Call, Response> {
-    let words: Vec<&str> = path.strip_prefix("/v1/").unwrap_or_default().split('/').collect();
-    let (allowed, call) = match words.as_slice() {
-        ["readyz"] => ("GET", Call::Ready),
-        ["hosts", id, "suspend"] => ("PUT", Call::Command(OperatorCommand::Suspend(unescape(id)))),
-        ["hosts", id, "resume"] => ("PUT", Call::Command(OperatorCommand::Resume(unescape(id)))),
-        ["invoker", "drain"] => ("PUT", Call::Command(OperatorCommand::Drain)),
-        ["invoker", "activate"] => ("PUT", Call::Command(OperatorCommand::Activate)),
+/// Parses the call from a method and path.
+fn route(method: &str, path: &str) -> Result<OperatorCall, Response> {
+    let segments: Vec<&str> = path.strip_prefix("/v1/").unwrap_or_default().split('/').collect();
+    let (allowed, call) = match segments.as_slice() {
+        ["readyz"] => ("GET", OperatorCall::Ready),
+        ["hosts", id, "suspend"] => {
+            ("PUT", OperatorCall::Command(OperatorCommand::Suspend(decode_segment(id))))
+        }
+        ["hosts", id, "resume"] => {
+            ("PUT", OperatorCall::Command(OperatorCommand::Resume(decode_segment(id))))
+        }
+        ["invoker", "drain"] => ("PUT", OperatorCall::Command(OperatorCommand::Drain)),
+        ["invoker", "activate"] => ("PUT", OperatorCall::Command(OperatorCommand::Activate)),
         _ => return Err(problem(404, "no such path")),
     };
     if method != allowed {
@@ -129,25 +137,27 @@
     Ok(call)
 }
 
-/// A path's segment with its `%` escapes read; an odd one stands as it is.
-fn unescape(segment: &str) -> String {
+/// Percent-decodes a path segment; invalid escapes are kept unchanged.
+fn decode_segment(segment: &str) -> String {
     percent_decode_str(segment).decode_utf8_lossy().into_owned()
 }
 
-/// Whether this process could serve. That the operators want no clients is told at the clients' address: else a
-/// successor of a drained process would never count as ready.
-fn ready(invoker: &Invoker) -> Reply {
+/// Whether this process can serve. A drain by the operators doesn't make it unready, and is reported at the clients'
+/// address instead: otherwise the successor of a drained process would never count as ready.
+fn readiness(invoker: &Invoker) -> CallReply {
     match invoker.duty().leaving() {
         _ if !invoker.is_serving() => {
-            Reply(503, json!({"ready": false, "detail": "this process is starting"}))
+            CallReply(503, json!({"ready": false, "detail": "this process is starting"}))
+        }
+        Some(Leave::Ending) => {
+            CallReply(503, json!({"ready": false, "detail": "this process is about to end"}))
         }
-        Some(Leave::Ending) => Reply(503, json!({"ready": false, "detail": "this process is about to end"})),
-        leaving => Reply(200, json!({"ready": true, "drained": leaving.is_some()})),
+        leaving => CallReply(200, json!({"ready": true, "drained": leaving.is_some()})),
     }
 }
 
-/// What is told of a call that operators made.
-fn executed(command: &OperatorCommand, end: Result<(), CommandError>) -> Reply {
+/// The reply to an executed command.
+fn command_reply(command: &OperatorCommand, end: Result<(), CommandError>) -> CallReply {
     let (host, state) = match command {
         OperatorCommand::Suspend(host) => (Some(host), "suspended"),
         OperatorCommand::Resume(host) => (Some(host), "resumed"),
@@ -155,7 +165,7 @@
         OperatorCommand::Activate => (None, "active"),
     };
     let (status, detail) = match end {
-        Ok(()) => return Reply(200, json!({"host": host, "state": state})),
+        Ok(()) => return CallReply(200, json!({"host": host, "state": state})),
         Err(CommandError::Unknown) => (404, "no list ever named this host"),
         Err(CommandError::NoRoom) => (507, "too many hosts are suspended"),
         Err(CommandError::Ending) => (409, "this process is about to end"),
@@ -163,7 +173,7 @@
             (503, "not written: what is held back holds here, nothing was lifted")
         }
     };
-    Reply(status, json!({"host": host, "status": status, "detail": detail}))
+    CallReply(status, json!({"host": host, "status": status, "detail": detail}))
 }
 
 #[cfg(test)]
--- a/crates/node/src/wire/sse.rs
+++ b/crates/node/src/wire/sse.rs
@@ -1,26 +1,27 @@
-//! HTTP responses that carry server-sent events, as bytes in and events out.
+//! Parser of HTTP responses that carry server-sent events; works on byte buffers without sockets.
 use super::http::{BadHttp, Body, ResponseHead};
 use std::fmt;
 
-const MAX_EVENT: usize = 4 << 20;
+/// Maximum size of an event.
+const MAX_EVENT_BYTES: usize = 4 << 20;
 
 /// One server-sent event.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Event {
-    /// The last `id` seen.
+    /// The last `id` field received, possibly with an earlier event.
     pub id: Option<String>,
-    /// Its `data` lines, joined by line feeds.
+    /// The values of its `data` fields, joined by line feeds.
     pub data: String,
 }
 
-/// Why a response can't be read any further.
+/// Why a response can't be parsed any further.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BadStream {
-    /// It is no HTTP.
+    /// It is not valid HTTP.
     Http(BadHttp),
     /// The status is not 200.
     Status(u16),
-    /// A line or event is longer than is read.
+    /// A line or an event is too long.
     Long,
 }
 
@@ -28,8 +29,8 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             BadStream::Http(error) => write!(f, "{error}"),
-            BadStream::Status(status) => write!(f, "status {status}"),
-            BadStream::Long => write!(f, "event too long"),
+            BadStream::Status(status) => write!(f, "unexpected status {status}"),
+            BadStream::Long => write!(f, "event exceeds {MAX_EVENT_BYTES} bytes"),
         }
     }
 }
@@ -42,57 +43,57 @@
     }
 }
 
-/// Reads one response.
+/// Incremental parser of one response.
 #[derive(Default)]
 pub struct Stream {
     body: Option<Body>,
-    raw: Vec<u8>,
+    input: Vec<u8>,
     text: Vec<u8>,
-    /// Bytes of the text, from its beginning, that hold no end of a line.
-    searched: usize,
+    /// Number of bytes at the start of the text that are known to contain no line end.
+    searched_bytes: usize,
     event: Event,
     has_data: bool,
 }
 
 impl Stream {
-    /// Takes bytes in and gives the events that they complete.
+    /// Parses more bytes; returns the events that they complete.
     pub fn feed(&mut self, bytes: &[u8]) -> Result<Vec<Event>, BadStream> {
-        self.raw.extend(bytes);
+        self.input.extend(bytes);
         if self.body.is_none() {
-            let Some(head) = ResponseHead::decode(&mut self.raw)? else { return Ok(Vec::new()) };
+            let Some(head) = ResponseHead::decode(&mut self.input)? else { return Ok(Vec::new()) };
             if head.status != 200 {
                 return Err(BadStream::Status(head.status));
             }
             self.body = Some(head.body);
         }
         if let Some(body) = &mut self.body {
-            body.feed(&mut self.raw, &mut self.text, MAX_EVENT)?;
+            body.feed(&mut self.input, &mut self.text, MAX_EVENT_BYTES)?;
         }
         let mut events = Vec::new();
         let text = std::mem::take(&mut self.text);
         let mut begin = 0;
-        while let Some(size) = text[self.searched..].iter().position(|byte| *byte == b'\n') {
-            let end = self.searched + size;
+        while let Some(size) = text[self.searched_bytes..].iter().position(|byte| *byte == b'\n') {
+            let end = self.searched_bytes + size;
             let line = String::from_utf8_lossy(&text[begin..end]);
-            self.line(line.trim_end_matches('\r'), &mut events);
+            self.parse_line(line.trim_end_matches('\r'), &mut events);
             begin = end + 1;
-            self.searched = begin;
+            self.searched_bytes = begin;
         }
         self.text = text;
         self.text.drain(..begin);
-        self.searched = self.text.len();
-        if self.text.len() + self.event.data.len() > MAX_EVENT {
+        self.searched_bytes = self.text.len();
+        if self.text.len() + self.event.data.len() > MAX_EVENT_BYTES {
             return Err(BadStream::Long);
         }
         Ok(events)
     }
 
-    /// Whether the body has come to its end.
+    /// Whether the body is complete.
     pub fn ended(&self) -> bool {
         self.body == Some(Body::Done)
     }
 
-    fn line(&mut self, line: &str, events: &mut Vec<Event>) {
+    fn parse_line(&mut self, line: &str, events: &mut Vec<Event>) {
         if line.is_empty() {
             if std::mem::take(&mut self.has_data) {
                 let data = std::mem::take(&mut self.event.data);
