--- a/crates/node/src/wire/framing.rs
+++ b/crates/node/src/wire/framing.rs
@@ -1,7 +1,8 @@
 //! Framed messages between nodes: a header of eight bytes, then JSON text.
 //!
-//! The header holds the length of the text in bytes and its CRC32, both big-endian. Memory for a message is reserved in
-//! an account before it is read or written, so a peer can't make a node hold more than the account allows.
+//! The header holds the length of the text in bytes and its CRC32, both big-endian. Memory for a message is
+//! reserved in an account before it is read or written, so a peer can't make a node hold more than the account
+//! allows.
 use corkbay_ledger::{Account, Full, Reservation};
 use serde::{de::DeserializeOwned, Serialize};
 use std::io::{self, ErrorKind, Read, Write};
@@ -21,12 +22,12 @@
     #[error("{0}")]
     Io(#[from] io::Error),
     /// The text is longer than the limit.
-    #[error("message of {bytes} bytes exceeds the limit of {most}")]
+    #[error("message of {bytes} bytes exceeds the limit of {max_bytes}")]
     TooLong {
         /// Length of the text, in bytes.
         bytes: usize,
         /// Maximum length, in bytes.
-        most: usize,
+        max_bytes: usize,
     },
     /// The text does not match its checksum.
     #[error("checksum of the message does not match")]
@@ -74,15 +75,15 @@
     Ok(frame.bytes.len())
 }
 
-/// Receives a message whose text has `most` bytes at most.
+/// Receives a message whose text has `max_bytes` bytes at most.
 pub fn receive<T: DeserializeOwned>(
     account: &Account,
     socket: &mut impl Read,
-    most: usize,
+    max_bytes: usize,
 ) -> Result<Received<T>, FramingError> {
     let mut head = Head::default();
     socket.read_exact(&mut head)?;
-    receive_after(account, socket, head, most)
+    receive_after(account, socket, head, max_bytes)
 }
 
 /// Receives the rest of a message whose header has been read already.
@@ -90,12 +91,12 @@
     account: &Account,
     socket: &mut impl Read,
     head: Head,
-    most: usize,
+    max_bytes: usize,
 ) -> Result<Received<T>, FramingError> {
     let size = u32::from_be_bytes([head[0], head[1], head[2], head[3]]) as usize;
     let checksum = u32::from_be_bytes([head[4], head[5], head[6], head[7]]);
-    if size > most {
-        return Err(FramingError::TooLong { bytes: size, most });
+    if size > max_bytes {
+        return Err(FramingError::TooLong { bytes: size, max_bytes });
     }
     // The buffer grows with the bytes received, not with the announced length.
     let mut text = AccountedBytes::new(account);
@@ -122,7 +123,7 @@
     }
     let text = &frame.bytes[HEADER_BYTES..];
     if text.len() > MAX_MESSAGE {
-        return Err(FramingError::TooLong { bytes: text.len(), most: MAX_MESSAGE });
+        return Err(FramingError::TooLong { bytes: text.len(), max_bytes: MAX_MESSAGE });
     }
     let size = (text.len() as u32).to_be_bytes();
     let checksum = crc32fast::hash(text).to_be_bytes();
--- a/crates/node/src/wire/http.rs
+++ b/crates/node/src/wire/http.rs
@@ -91,8 +91,8 @@
         }
     }
 
-    /// Moves the bytes of the body from `input` to `body`, which may hold at most `max_bytes` bytes. True once the body
-    /// is complete.
+    /// Moves the bytes of the body from `input` to `body`, which may hold at most `max_bytes` bytes. True once the
+    /// body is complete.
     pub fn feed(
         &mut self,
         input: &mut Vec<u8>,
--- a/crates/node/src/wire/http_workers.rs
+++ b/crates/node/src/wire/http_workers.rs
@@ -1,5 +1,5 @@
-//! Workers that serve the invoke API themselves, called in either of its styles: the connection is held until the answer
-//! comes, or the worker accepts the call at once and the answer is collected later.
+//! Workers that serve the invoke API themselves, called in either of its styles: the connection is held until the
+//! answer comes, or the worker accepts the call at once and the answer is collected later.
 use super::http::ResponseHead;
 use super::intake::{Intake, CHUNK};
 use super::invoke::{DEADLINE_HEADER, MAY_HAVE_RUN_HEADER};
@@ -22,8 +22,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Memory that one attempt is charged for beside its body: the touched part of the stack of its task, a read chunk and
-/// the head of its request.
+/// Memory that one attempt is charged for beside its body: the touched part of the stack of its task, a read chunk
+/// and the head of its request.
 const ATTEMPT_BYTES: usize = 16 << 10;
 /// Longest time that one request to collect an answer asks the worker to wait.
 const COLLECT_WAIT: Duration = Duration::from_secs(10);
@@ -52,8 +52,8 @@
     pub answer: usize,
 }
 
-/// Client of workers that speak HTTP. Each call uses a new connection: if the worker closed a reused connection while a
-/// call is written, the call would have to be reported as one that may have run.
+/// Client of workers that speak HTTP. Each call uses a new connection: if the worker closed a reused connection
+/// while a call is written, the call would have to be reported as one that may have run.
 pub struct HttpWorkers {
     style: Style,
     limits: Limits,
@@ -312,7 +312,8 @@
     bytes
 }
 
-/// Reads a whole response whose first byte has to come before `expires` and whose body has `max_body_bytes` bytes at most.
+/// Reads a whole response whose first byte has to come before `expires` and whose body has `max_body_bytes` bytes
+/// at most.
 fn receive(
     socket: &Socket,
     expires: Ms,
--- a/crates/node/src/wire/index.rs
+++ b/crates/node/src/wire/index.rs
@@ -12,7 +12,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Memory that an entry is charged for: the entry and its key in a map, doubled for the free space of the map's nodes.
+/// Memory that an entry is charged for: the entry and its key in a map, doubled for the free space of the map's
+/// nodes.
 const ENTRY_BYTES: usize = 2 * (std::mem::size_of::<Entry>() + std::mem::size_of::<Arc<str>>());
 /// Approximate size of the field names and numbers of a record in a message.
 const MESSAGE_OVERHEAD_BYTES: usize = 100;
--- a/crates/node/src/wire/index/tests.rs
+++ b/crates/node/src/wire/index/tests.rs
@@ -23,7 +23,8 @@
 }
 
 proptest! {
-    /// Incremental hashes must equal those of the current records: earlier versions and the order of changes leave no trace.
+    /// Incremental hashes must equal those of the current records: earlier versions and the order of changes leave
+    /// no trace.
     #[test]
     fn hashes_depend_only_on_the_current_records(
         versions in proptest::collection::vec((0u8..20, 1u64..5), 0..60),
@@ -39,7 +40,8 @@
     }
 }
 
-/// Nodes delete expired records at different times. The hashes must exclude a record from its expiry on, so that they agree.
+/// Nodes delete expired records at different times. The hashes must exclude a record from its expiry on, so that
+/// they agree.
 #[test]
 fn expired_records_are_excluded() {
     let ledger = roomy();
@@ -54,7 +56,8 @@
     assert_eq!(ledger.held(), 0);
 }
 
-/// Node-local records must not leave the node, so no index covers them; only the index of peers covers deferred calls.
+/// Node-local records must not leave the node, so no index covers them; only the index of peers covers deferred
+/// calls.
 #[test]
 fn scopes_exclude_records_of_other_kinds() {
     let keys = ["function/f", "worker/w", "invocation/1", "seed/n/function/f", "local/feed-position"];
--- a/crates/node/src/wire/intake.rs
+++ b/crates/node/src/wire/intake.rs
@@ -1,8 +1,8 @@
 //! Receive buffer of a connection: bytes that were read and not consumed yet. Its memory is reserved as it grows.
 //!
-//! Two chunks are reserved when a connection is accepted: one to read into and one for unconsumed bytes. Growth beyond
-//! that is reserved first. While there is no room nothing more is read, so that the data backs up at the peer (backpressure).
-//! When the wait for room takes too long, the read fails and the connection is closed.
+//! Two chunks are reserved when a connection is accepted: one to read into and one for unconsumed bytes. Growth
+//! beyond that is reserved first. While there is no room nothing more is read, so that the data backs up at the
+//! peer (backpressure). When the wait for room takes too long, the read fails and the connection is closed.
 use super::socket::Socket;
 use crate::memory::room::grow;
 use corkbay_ledger::{Account, Purpose, Reservation};
@@ -37,8 +37,8 @@
         self.bytes.is_empty()
     }
 
-    /// Reads received bytes, or waits for some; returns their number. Fails with [`NO_ROOM`](crate::memory::room::NO_ROOM)
-    /// when there was no room for them for too long.
+    /// Reads received bytes, or waits for some; returns their number. Fails with
+    /// [`NO_ROOM`](crate::memory::room::NO_ROOM) when there was no room for them for too long.
     pub fn fill(&mut self, socket: &Socket, chunk: &mut [u8], within: Duration) -> io::Result<usize> {
         let size = socket.read(chunk, within)?;
         self.make_room(size)?;
--- a/crates/node/src/wire/intake/tests.rs
+++ b/crates/node/src/wire/intake/tests.rs
@@ -9,9 +9,9 @@
 fn growth_waits_for_room_and_gives_up_in_the_end() {
     let account = Account::root("clients", 10 * CHUNK);
     let other = account.reserve(8 * CHUNK).expect("room");
-    let (ours, began) = (account.clone(), monotonic_ms());
+    let (task_account, began) = (account.clone(), monotonic_ms());
     let task = spawn(move || {
-        let mut receive_buffer = Intake::new(&ours, Purpose::Clients);
+        let mut receive_buffer = Intake::new(&task_account, Purpose::Clients);
         let first = receive_buffer.make_room(4 * CHUNK).map_err(|error| error.kind());
         let again = receive_buffer.make_room(8 * CHUNK).map_err(|error| error.kind());
         let waited = monotonic_ms() - began;
--- a/crates/node/src/wire/invoke.rs
+++ b/crates/node/src/wire/invoke.rs
@@ -58,7 +58,7 @@
     pub invocations: Arc<Invocations>,
     /// Configured functions and workers.
     pub catalog: Arc<Catalog>,
-    /// Role of the node: the source of its configuration and the nodes that it is sent to.
+    /// Role of the node in the distribution of configuration.
     pub role: Role,
 }
 
@@ -219,16 +219,16 @@
 /// discarded. A disconnect is noticed even behind input that does not fit.
 fn wait_for_answer(
     connection: &Connection,
-    ahead: &mut Intake,
+    pipelined: &mut Intake,
     chunk: &mut [u8],
     current: &mut Option<Current>,
     keep_input: bool,
 ) -> io::Result<bool> {
     while current.as_ref().is_some_and(|before| !before.task.is_done()) {
         if !keep_input {
-            ahead.bytes().clear();
+            pipelined.bytes().clear();
         }
-        let room = CHUNK.saturating_sub(ahead.bytes().len());
+        let room = CHUNK.saturating_sub(pipelined.bytes().len());
         if room == 0 {
             if connection.is_hung_up() {
                 handle_end_of_input(connection)?;
@@ -236,8 +236,9 @@
             timers::sleep(ANSWER_POLL_INTERVAL);
             continue;
         }
-        match ahead.fill(connection, &mut chunk[..room], ANSWER_POLL_INTERVAL) {
-            // This process shut the reading side down with the answer; requests received before it are still answered.
+        match pipelined.fill(connection, &mut chunk[..room], ANSWER_POLL_INTERVAL) {
+            // This process shut the reading side down with the answer; requests received before it are still
+            // answered.
             Ok(0) if connection.is_shut() && current.as_ref().is_some_and(|before| before.task.is_done()) => {
             }
             Ok(0) => handle_end_of_input(connection)?,
--- a/crates/node/src/wire/invoke/calls.rs
+++ b/crates/node/src/wire/invoke/calls.rs
@@ -68,13 +68,13 @@
         })
     }
 
-    /// The response to a call of an unconfigured function. Until a follower has a complete copy of the configuration the
-    /// call is refused, as the function may exist.
+    /// The response to a call of an unconfigured function. Until a follower has a complete copy of the
+    /// configuration the call is refused, as the function may exist.
     fn unknown_function(&self, name: &str) -> Response {
         if self.role.is_ready() {
             problem(404, "unknown-function", &format!("no function {name:?}"), Some(false))
         } else {
-            refused("this node has no whole copy of its configuration yet", Some(NOT_READY_RETRY_AFTER_MS))
+            refused("this node has no complete copy of its configuration yet", Some(NOT_READY_RETRY_AFTER_MS))
         }
     }
 
@@ -86,7 +86,7 @@
     ) -> Result<CallOptions, Box<Response>> {
         let invoker = &self.invoker;
         let class = position(&invoker.names.classes, &function.class).ok_or_else(|| {
-            problem(404, "unknown-class", "the function's class is unknown here", Some(false))
+            problem(404, "unknown-class", "the function's class is not configured on this node", Some(false))
         })?;
         let expires = invoker.came_at() + deadline_span(head, self.catalog.give_up(class))?;
         let (key, window) = match invoker.settings.classes[class].effect {
@@ -104,7 +104,8 @@
         })
     }
 
-    /// The response to a call whose key was used before; none for the first call with its key, or for one without a key.
+    /// The response to a call whose key was used before; none for the first call with its key, or for one without a
+    /// key.
     fn repeated(&self, options: &CallOptions, body: &[u8]) -> Result<Option<Response>, Box<Response>> {
         let Some(key) = &options.key else { return Ok(None) };
         match self.invocations.admit(key, options.id, body, options.repeats_until, options.tenant) {
@@ -116,14 +117,14 @@
             }
             Repeat::Done(_, answer) => Ok(Some(answer_response(&answer))),
             Repeat::Open(_) => {
-                let detail = "the first call with this key is still open";
+                let detail = "the first call with this key is still in progress";
                 Err(problem(409, "open", detail, Some(true)).into())
             }
             Repeat::Crowded(retry_after) => {
                 Err(refused("there is no room for another idempotency key", retry_after).into())
             }
             Repeat::Mismatch => {
-                let detail = "the key came with another body before";
+                let detail = "the key was used with a different body before";
                 Err(problem(422, "key-reused", detail, Some(false)).into())
             }
         }
@@ -215,8 +216,8 @@
                 is_withdrawn || connection.answer(&answer_response(&answer).encode(keep_alive)).is_ok();
             connection.closed();
             if !keep_alive {
-                // Only the writing side is shut down: closing while the client still sends would reset the connection, and the
-                // client could lose the response.
+                // Only the writing side is shut down: closing while the client still sends would reset the
+                // connection, and the client could lose the response.
                 connection.shut(Shutdown::Write);
             }
             written
@@ -255,16 +256,17 @@
     }
 }
 
+/// The response to a call with invalid headers.
 fn malformed(detail: &str) -> Box<Response> {
     problem(400, "malformed", detail, Some(false)).into()
 }
 
 /// The time that the client allows for a call, in milliseconds, limited to that of the call's class.
-fn deadline_span(head: &RequestHead, most: Ms) -> Result<Ms, Box<Response>> {
-    let Some(text) = head.headers.get(&DEADLINE_HEADER.to_ascii_lowercase()) else { return Ok(most) };
+fn deadline_span(head: &RequestHead, max_ms: Ms) -> Result<Ms, Box<Response>> {
+    let Some(text) = head.headers.get(&DEADLINE_HEADER.to_ascii_lowercase()) else { return Ok(max_ms) };
     match text.parse::<u32>() {
-        Ok(span) if span > 0 => Ok(f64::from(span).min(most)),
-        _ => Err(malformed("the deadline is no whole number of milliseconds above 0")),
+        Ok(span) if span > 0 => Ok(f64::from(span).min(max_ms)),
+        _ => Err(malformed("the deadline is not a positive whole number of milliseconds")),
     }
 }
 
@@ -273,15 +275,18 @@
     let key = head.headers.get("idempotency-key").unwrap_or_default();
     let plain = key.bytes().all(|byte| byte.is_ascii_graphic() && byte != b',' && byte != b'=');
     if key.is_empty() || key.len() > MAX_KEY_BYTES || !plain {
-        return Err(malformed("calls of this class carry an Idempotency-Key of 1 to 128 plain characters"));
+        return Err(malformed(
+            "an Idempotency-Key of 1 to 128 printable ASCII characters without ',' or '=' is required",
+        ));
     }
     Ok(key.to_string())
 }
 
+/// The response to a call that the invoker did not accept.
 fn not_accepted(refusal: &NotTaken) -> Response {
     match refusal {
         NotTaken::Draining => refused("this node is about to end", Some(ENDING_RETRY_AFTER_MS)),
         NotTaken::Crowded(span) => refused("there is no room for another call", Some(*span)),
-        NotTaken::Open => refused("the id is taken", None),
+        NotTaken::Open => refused("a call with this id is already in progress", None),
     }
 }
--- a/crates/node/src/wire/invoke/resume.rs
+++ b/crates/node/src/wire/invoke/resume.rs
@@ -60,7 +60,8 @@
         Some(Call { request, class_name: function.class.clone(), function: name, key: None, body })
     }
 
-    /// Submits the call until there is room for it; none when its deadline passes first, or when it can't be accepted.
+    /// Submits the call until there is room for it; none when its deadline passes first, or when it can't be
+    /// accepted.
     fn accept_again(&self, call: Call) -> Option<Taken> {
         while monotonic_ms() < call.request.expires {
             match self.invoker.take(call.clone()) {
--- a/crates/node/src/wire/invoke/routes.rs
+++ b/crates/node/src/wire/invoke/routes.rs
@@ -74,22 +74,25 @@
         })),
         (_, ["v1", "invocations", _] | ["v1", "functions" | "workers" | "status"] | ["metrics"])
         | (_, ["v1", "functions" | "workers", _] | ["v1", "functions", _, "invocations"]) => {
-            problem(405, "method", "the method does not apply here", Some(false))
+            problem(405, "method", "the method is not allowed on this path", Some(false))
         }
-        _ => problem(404, "unknown-path", "nothing stands here", Some(false)),
+        _ => problem(404, "unknown-path", "no such path", Some(false)),
     })
 }
 
+/// Parses the 16 hexadecimal digits of an invocation id.
 fn parse_invocation_id(text: &str) -> Option<RequestId> {
     let hex = text.len() == 16 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
     u64::from_str_radix(text, 16).ok().filter(|_| hex).map(RequestId)
 }
 
+/// The wait that the client requests with `Prefer: wait`, limited to [`MAX_WAIT`].
 fn preferred_wait(head: &RequestHead) -> Duration {
     let seconds = head.headers.preferences().find_map(|one| one.strip_prefix("wait=")?.parse().ok());
     Duration::from_secs(seconds.unwrap_or(0)).min(MAX_WAIT)
 }
 
+/// Decodes a configuration record from the request and stores it.
 fn put_record<T: DeserializeOwned>(
     body: &[u8],
     store: impl FnOnce(T) -> Result<(), CatalogError>,
@@ -115,11 +118,17 @@
 /// Checks that a function's class and tenant are configured on this node.
 fn check_function(api: &InvokeApi, function: &Function) -> Result<(), CatalogError> {
     if position(&api.invoker.names.classes, &function.class).is_none() {
-        return Err(CatalogError::Value(format!("class: {:?} is unknown", function.class)));
+        return Err(CatalogError::Value(format!(
+            "class: {:?} is not configured on this node",
+            function.class
+        )));
     }
     let tenants = &api.invoker.names.tenants;
     if !tenants.is_empty() && position(tenants, &function.tenant).is_none() {
-        return Err(CatalogError::Value(format!("tenant: {:?} is unknown", function.tenant)));
+        return Err(CatalogError::Value(format!(
+            "tenant: {:?} is not configured on this node",
+            function.tenant
+        )));
     }
     Ok(())
 }
--- a/crates/node/src/wire/news.rs
+++ b/crates/node/src/wire/news.rs
@@ -6,7 +6,7 @@
 /// The kinds of records that were received. Functions are read from the store with each call and need no notice.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct News {
-    /// Worker records: the scheduler has to be notified.
+    /// Worker records: the roster has to be updated.
     pub workers: bool,
     /// Records of deferred calls: clients that wait for one have to be woken.
     pub invocations: bool,
--- a/crates/node/src/wire/operators.rs
+++ b/crates/node/src/wire/operators.rs
@@ -1,5 +1,5 @@
-//! The operators' API: HTTP/1.1 with one call per connection. A call is answered at once; a caller that is too slow gets
-//! no answer.
+//! The operators' API: HTTP/1.1 with one call per connection. A call is answered at once; a caller that is too slow
+//! gets no answer.
 use super::accept::Connection;
 use super::http::{BadHttp, RequestHead, Response};
 use super::intake::{Intake, CHUNK};
@@ -107,10 +107,12 @@
     })
 }
 
+/// The response to a request that is not valid HTTP or too long.
 fn bad_request(error: BadHttp) -> Response {
     problem(if error == BadHttp::Long { 413 } else { 400 }, &error.to_string())
 }
 
+/// An error as `application/problem+json`.
 fn problem(status: u16, detail: &str) -> Response {
     let text = json!({"status": status, "detail": detail}).to_string();
     Response::new(status, "application/problem+json", text.into_bytes())
@@ -132,7 +134,7 @@
         _ => return Err(problem(404, "no such path")),
     };
     if method != allowed {
-        return Err(problem(405, "no such method here").with("Allow", allowed));
+        return Err(problem(405, "the method is not allowed on this path").with("Allow", allowed));
     }
     Ok(call)
 }
@@ -170,7 +172,7 @@
         Err(CommandError::NoRoom) => (507, "too many hosts are suspended"),
         Err(CommandError::Ending) => (409, "this process is about to end"),
         Err(CommandError::Unwritten) => {
-            (503, "not written: what is held back holds here, nothing was lifted")
+            (503, "not stored: suspensions and drains apply in this process only, nothing was resumed")
         }
     };
     CallReply(status, json!({"host": host, "status": status, "detail": detail}))
--- a/crates/node/src/wire/socket.rs
+++ b/crates/node/src/wire/socket.rs
@@ -1,9 +1,9 @@
 //! A stream socket whose reader and writers share one descriptor.
 //!
-//! A descriptor's registration with the event loop holds one waiting coroutine, so two coroutines may not wait on the same
-//! descriptor. Only the reader waits for events. A writer writes what the kernel accepts at once, and retries after a
-//! pause when the send buffer is full. A second descriptor for the writer would avoid the pauses, but clients that
-//! read slowly could then exhaust the descriptors of the process.
+//! A descriptor's registration with the event loop holds one waiting coroutine, so two coroutines may not wait on
+//! the same descriptor. Only the reader waits for events. A writer writes what the kernel accepts at once, and
+//! retries after a pause when the send buffer is full. A second descriptor for the writer would avoid the pauses,
+//! but clients that read slowly could then exhaust the descriptors of the process.
 use crate::core::lock;
 use crate::timers;
 use may::io::CoIo;
@@ -24,8 +24,8 @@
 const INTERRUPTED_READ_PAUSE: Duration = Duration::from_millis(1);
 
 /// A stream that was accepted by another part of the program or by another process. Other descriptors of the same
-/// connection may be open, so closing this one does not end its registration with the event loop: the registration has
-/// to be removed before the descriptor is closed.
+/// connection may be open, so closing this one does not end its registration with the event loop: the registration
+/// has to be removed before the descriptor is closed.
 struct AdoptedStream(Option<CoIo<net::TcpStream>>);
 
 impl AdoptedStream {
@@ -175,8 +175,8 @@
         }
     }
 
-    /// Writes a whole message; concurrent writers take turns. A failed write closes the connection in both directions,
-    /// as the peer would read the next message as the rest of this one.
+    /// Writes a whole message; concurrent writers take turns. A failed write closes the connection in both
+    /// directions, as the peer would read the next message as the rest of this one.
     pub fn write(&self, bytes: &[u8]) -> io::Result<()> {
         let _guard = lock(&self.write_lock);
         self.write_all(bytes).inspect_err(|_| self.shut(Shutdown::Both))
@@ -193,7 +193,8 @@
                 }
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {
-                    // The limit applies since the last progress: a slow peer that keeps reading is given time for the rest.
+                    // The limit applies since the last progress: a slow peer that keeps reading is given time for
+                    // the rest.
                     if last_progress.elapsed() >= self.stall {
                         return Err(ErrorKind::TimedOut.into());
                     }
--- a/crates/node/src/wire/workers.rs
+++ b/crates/node/src/wire/workers.rs
@@ -45,8 +45,8 @@
     pub cancels: bool,
 }
 
-/// Maximum number of evicted connections that have not ended yet. Their memory and descriptors are freed only when they
-/// have ended, so the connections that replace them exceed the budgets by up to this number.
+/// Maximum number of evicted connections that have not ended yet. Their memory and descriptors are freed only when
+/// they have ended, so the connections that replace them exceed the budgets by up to this number.
 const MAX_EVICTING_CONNECTIONS: usize = 16;
 
 /// When less than one part in this many of the account is free, a new connection evicts an idle one, so that
@@ -249,8 +249,8 @@
     }
 }
 
-/// Converts the answer to a command whose success code is `good` into a result. A success code of another command
-/// leaves the outcome unknown.
+/// Converts the answer to a command whose success code is `expected_code` into a result. A success code of another
+/// command leaves the outcome unknown.
 fn check_answer(frame: Frame, expected_code: u8) -> Result<Frame, AttemptError> {
     match frame.code {
         code if code == expected_code => Ok(frame),
--- a/crates/node/src/wire/workers/connection.rs
+++ b/crates/node/src/wire/workers/connection.rs
@@ -183,7 +183,8 @@
             };
             let id = out.frame.id;
             if out.recipients.excludes(host) || monotonic_ms() > out.send_by {
-                // The host was barred while the frame was queued, or the frame was queued too long: it must not be sent.
+                // The host was barred or suspended while the frame was queued, or `send_by` has passed: it must not
+                // be sent.
                 let given_up = if out.expects_answer { lock(&self.link).give_up(id) } else { None };
                 if let Some((_, waiter)) = given_up {
                     waiter(Err(AttemptError::Unfinished(Cause::Barred)));
