--- a/crates/node/src/wire/frames.rs
+++ b/crates/node/src/wire/frames.rs
@@ -59,7 +59,7 @@
 
 /// Why bytes are not a valid frame. The connection that they arrived on can't be read any further.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum BadFrame {
+pub enum FrameError {
     /// The first byte is not the mark of the peer.
     Mark(u8),
     /// The body exceeds [`MAX_BODY`]; its announced size in bytes.
@@ -70,18 +70,18 @@
     Fields,
 }
 
-impl fmt::Display for BadFrame {
+impl fmt::Display for FrameError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            BadFrame::Mark(mark) => write!(f, "frame begins with the unexpected byte {mark}"),
-            BadFrame::Long(size) => write!(f, "frame body of {size} bytes exceeds the limit of {MAX_BODY}"),
-            BadFrame::Check => write!(f, "frame checksum does not match"),
-            BadFrame::Fields => write!(f, "frame fields are not valid UTF-8"),
+            FrameError::Mark(mark) => write!(f, "frame begins with the unexpected byte {mark}"),
+            FrameError::Long(size) => write!(f, "frame body of {size} bytes exceeds the limit of {MAX_BODY}"),
+            FrameError::Check => write!(f, "frame checksum does not match"),
+            FrameError::Fields => write!(f, "frame fields are not valid UTF-8"),
         }
     }
 }
 
-impl std::error::Error for BadFrame {}
+impl std::error::Error for FrameError {}
 
 impl Frame {
     /// Creates a frame that the invoker sends.
@@ -110,10 +110,10 @@
     }
 
     /// Removes one frame from the front of `buffer`; `None` while it is incomplete.
-    pub fn decode(buffer: &mut Vec<u8>, mark: u8) -> Result<Option<Frame>, BadFrame> {
+    pub fn decode(buffer: &mut Vec<u8>, mark: u8) -> Result<Option<Frame>, FrameError> {
         let Some(first) = buffer.first() else { return Ok(None) };
         if *first != mark {
-            return Err(BadFrame::Mark(*first));
+            return Err(FrameError::Mark(*first));
         }
         if buffer.len() < HEADER_BYTES {
             return Ok(None);
@@ -121,18 +121,18 @@
         let fields = usize::from(u16::from_be_bytes([buffer[2], buffer[3]]));
         let body = u32::from_be_bytes([buffer[4], buffer[5], buffer[6], buffer[7]]) as usize;
         if body > MAX_BODY {
-            return Err(BadFrame::Long(body));
+            return Err(FrameError::Long(body));
         }
         let end = HEADER_BYTES + fields + body;
         if buffer.len() < end + CHECKSUM_BYTES {
             return Ok(None);
         }
         if crc32fast::hash(&buffer[HEADER_BYTES..end]).to_be_bytes() != buffer[end..end + CHECKSUM_BYTES] {
-            return Err(BadFrame::Check);
+            return Err(FrameError::Check);
         }
         let id = buffer[8..HEADER_BYTES].iter().fold(0u64, |id, byte| id << 8 | u64::from(*byte));
         let text = std::str::from_utf8(&buffer[HEADER_BYTES..HEADER_BYTES + fields])
-            .map_err(|_| BadFrame::Fields)?;
+            .map_err(|_| FrameError::Fields)?;
         let frame = Frame {
             mark,
             code: buffer[1],
--- a/crates/node/src/wire/http.rs
+++ b/crates/node/src/wire/http.rs
@@ -7,7 +7,7 @@
 
 /// Why bytes are not a message that this parser accepts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum BadHttp {
+pub enum HttpError {
     /// The head is not valid HTTP, or too long.
     Head,
     /// The length of the body is declared more than once, malformed or in an unsupported coding.
@@ -18,27 +18,27 @@
     Long,
 }
 
-impl fmt::Display for BadHttp {
+impl fmt::Display for HttpError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            BadHttp::Head => "head is not valid HTTP or too long",
-            BadHttp::Length => "body length is ambiguous, malformed or in an unsupported coding",
-            BadHttp::Chunk => "chunked framing of the body is malformed",
-            BadHttp::Long => "body is too long",
+            HttpError::Head => "head is not valid HTTP or too long",
+            HttpError::Length => "body length is ambiguous, malformed or in an unsupported coding",
+            HttpError::Chunk => "chunked framing of the body is malformed",
+            HttpError::Long => "body is too long",
         })
     }
 }
 
-impl std::error::Error for BadHttp {}
+impl std::error::Error for HttpError {}
 
 /// Headers in the order of the message; names in lower case.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Headers(Vec<(String, String)>);
 
 impl Headers {
-    fn read(parsed: &[httparse::Header<'_>]) -> Result<Self, BadHttp> {
+    fn read(parsed: &[httparse::Header<'_>]) -> Result<Self, HttpError> {
         let decode = |header: &httparse::Header<'_>| {
-            let value = std::str::from_utf8(header.value).map_err(|_| BadHttp::Head)?;
+            let value = std::str::from_utf8(header.value).map_err(|_| HttpError::Head)?;
             Ok((header.name.to_ascii_lowercase(), value.trim().to_string()))
         };
         parsed.iter().map(decode).collect::<Result<_, _>>().map(Headers)
@@ -76,17 +76,17 @@
 }
 
 impl Body {
-    fn of(headers: &Headers, default: Body) -> Result<Body, BadHttp> {
+    fn of(headers: &Headers, default: Body) -> Result<Body, HttpError> {
         match (headers.get("transfer-encoding"), headers.get("content-length")) {
             // Both headers at once, or either one twice, allow request smuggling past a proxy.
-            (Some(_), Some(_)) => Err(BadHttp::Length),
+            (Some(_), Some(_)) => Err(HttpError::Length),
             (Some(coding), None) if coding.eq_ignore_ascii_case("chunked") => Ok(Body::Chunked(0)),
-            (Some(_), None) => Err(BadHttp::Length),
+            (Some(_), None) => Err(HttpError::Length),
             (None, Some(length)) if headers.count("content-length") == 1 => {
                 let digits = !length.is_empty() && length.bytes().all(|byte| byte.is_ascii_digit());
-                length.parse().ok().filter(|_| digits).map(Body::Length).ok_or(BadHttp::Length)
+                length.parse().ok().filter(|_| digits).map(Body::Length).ok_or(HttpError::Length)
             }
-            (None, Some(_)) => Err(BadHttp::Length),
+            (None, Some(_)) => Err(HttpError::Length),
             (None, None) => Ok(default),
         }
     }
@@ -98,7 +98,7 @@
         input: &mut Vec<u8>,
         body: &mut Vec<u8>,
         max_bytes: usize,
-    ) -> Result<bool, BadHttp> {
+    ) -> Result<bool, HttpError> {
         loop {
             match *self {
                 Body::Length(0) | Body::Done => {
@@ -107,7 +107,7 @@
                 }
                 Body::Length(remaining) => {
                     if body.len() + remaining > max_bytes {
-                        return Err(BadHttp::Long);
+                        return Err(HttpError::Long);
                     }
                     let size = remaining.min(input.len());
                     body.extend(input.drain(..size));
@@ -124,12 +124,12 @@
                             input.drain(..skip + used);
                             let size = usize::try_from(size).unwrap_or(usize::MAX);
                             if size > max_bytes.saturating_sub(body.len()) {
-                                return Err(BadHttp::Long);
+                                return Err(HttpError::Long);
                             }
                             *self = if size == 0 { Body::Trailer } else { Body::Chunked(size) };
                         }
                         Ok(httparse::Status::Partial) if input.len() <= MAX_HEAD_BYTES => return Ok(false),
-                        _ => return Err(BadHttp::Chunk),
+                        _ => return Err(HttpError::Chunk),
                     }
                 }
                 Body::Chunked(remaining) => {
@@ -147,11 +147,11 @@
                     }
                     Some(end) => _ = input.drain(..end + 2),
                     None if input.len() <= MAX_HEAD_BYTES => return Ok(false),
-                    None => return Err(BadHttp::Chunk),
+                    None => return Err(HttpError::Chunk),
                 },
                 Body::ToEnd => {
                     if body.len() + input.len() > max_bytes {
-                        return Err(BadHttp::Long);
+                        return Err(HttpError::Long);
                     }
                     body.append(input);
                     return Ok(false);
@@ -178,13 +178,13 @@
 
 impl RequestHead {
     /// Removes a head from the front of `input`; `None` while it is incomplete.
-    pub fn decode(input: &mut Vec<u8>) -> Result<Option<Self>, BadHttp> {
+    pub fn decode(input: &mut Vec<u8>) -> Result<Option<Self>, HttpError> {
         let mut parsed = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut request = httparse::Request::new(&mut parsed);
         let size = match request.parse(input) {
             Ok(httparse::Status::Complete(size)) => size,
             Ok(httparse::Status::Partial) if input.len() <= MAX_HEAD_BYTES => return Ok(None),
-            _ => return Err(BadHttp::Head),
+            _ => return Err(HttpError::Head),
         };
         let headers = Headers::read(request.headers)?;
         let path = request.path.unwrap_or_default();
@@ -214,14 +214,14 @@
 
 impl ResponseHead {
     /// Removes a head from the front of `input`; `None` while it is incomplete. Interim responses (1xx) are skipped.
-    pub fn decode(input: &mut Vec<u8>) -> Result<Option<Self>, BadHttp> {
+    pub fn decode(input: &mut Vec<u8>) -> Result<Option<Self>, HttpError> {
         loop {
             let mut parsed = [httparse::EMPTY_HEADER; MAX_HEADERS];
             let mut response = httparse::Response::new(&mut parsed);
             let size = match response.parse(input) {
                 Ok(httparse::Status::Complete(size)) => size,
                 Ok(httparse::Status::Partial) if input.len() <= MAX_HEAD_BYTES => return Ok(None),
-                _ => return Err(BadHttp::Head),
+                _ => return Err(HttpError::Head),
             };
             let status = response.code.unwrap_or(0);
             let headers = Headers::read(response.headers)?;
--- a/crates/node/src/wire/http/tests.rs
+++ b/crates/node/src/wire/http/tests.rs
@@ -44,10 +44,10 @@
         "Transfer-Encoding: gzip",
     ] {
         let mut input = format!("POST / HTTP/1.1\r\n{head}\r\n\r\n").into_bytes();
-        assert_eq!(RequestHead::decode(&mut input), Err(BadHttp::Length), "{head}");
+        assert_eq!(RequestHead::decode(&mut input), Err(HttpError::Length), "{head}");
     }
     let long = Body::Length(11).feed(&mut vec![0; 11], &mut Vec::new(), 10);
-    assert_eq!(long, Err(BadHttp::Long));
+    assert_eq!(long, Err(HttpError::Long));
     let long = Body::Chunked(0).feed(&mut b"ffffffffffffffff\r\n".to_vec(), &mut Vec::new(), 10);
-    assert_eq!(long, Err(BadHttp::Long));
+    assert_eq!(long, Err(HttpError::Long));
 }
--- a/crates/node/src/wire/index.rs
+++ b/crates/node/src/wire/index.rs
@@ -186,7 +186,7 @@
 
     /// A single hash over all buckets.
     pub fn root(&self) -> u64 {
-        root_of(&self.hashes())
+        root_hash_of(&self.hashes())
     }
 
     /// The hashes of the records in a bucket, by key.
@@ -209,7 +209,7 @@
 }
 
 /// A single hash over the hashes of all buckets.
-pub fn root_of(hashes: &BucketHashes) -> u64 {
+pub fn root_hash_of(hashes: &BucketHashes) -> u64 {
     stable_hash(&[String::from(hashes.clone()).as_bytes()])
 }
 
--- a/crates/node/src/wire/invoke/responses.rs
+++ b/crates/node/src/wire/invoke/responses.rs
@@ -4,13 +4,13 @@
 use crate::memory::catalog::CatalogError;
 use crate::memory::store::StoreError;
 use crate::wire::feed::ReadOnly;
-use crate::wire::http::{reason, BadHttp, Response};
+use crate::wire::http::{reason, HttpError, Response};
 use corkbay::{Ms, RequestId};
 use serde_json::json;
 
 /// The response to a request that is not valid HTTP or too long.
-pub(super) fn bad_request(error: &BadHttp) -> Response {
-    let status = if *error == BadHttp::Long { 413 } else { 400 };
+pub(super) fn bad_request(error: &HttpError) -> Response {
+    let status = if *error == HttpError::Long { 413 } else { 400 };
     problem(status, "malformed", &error.to_string(), Some(false))
 }
 
--- a/crates/node/src/wire/operators.rs
+++ b/crates/node/src/wire/operators.rs
@@ -1,7 +1,7 @@
 //! The operators' API: HTTP/1.1 with one call per connection. A call is answered at once; a caller that is too slow
 //! gets no answer.
 use super::accept::Connection;
-use super::http::{BadHttp, RequestHead, Response};
+use super::http::{HttpError, RequestHead, Response};
 use super::intake::{Intake, CHUNK};
 use crate::core::{monotonic_ms, until, Invoker};
 use crate::life::handover::{CommandError, OperatorCommand, OverridesHandle};
@@ -108,8 +108,8 @@
 }
 
 /// The response to a request that is not valid HTTP or too long.
-fn bad_request(error: BadHttp) -> Response {
-    problem(if error == BadHttp::Long { 413 } else { 400 }, &error.to_string())
+fn bad_request(error: HttpError) -> Response {
+    problem(if error == HttpError::Long { 413 } else { 400 }, &error.to_string())
 }
 
 /// An error as `application/problem+json`.
--- a/crates/node/src/wire/sse.rs
+++ b/crates/node/src/wire/sse.rs
@@ -1,5 +1,5 @@
 //! Parser of HTTP responses that carry server-sent events; works on byte buffers without sockets.
-use super::http::{BadHttp, Body, ResponseHead};
+use super::http::{Body, HttpError, ResponseHead};
 use std::fmt;
 
 /// Maximum size of an event.
@@ -16,30 +16,30 @@
 
 /// Why a response can't be parsed any further.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum BadStream {
+pub enum EventStreamError {
     /// It is not valid HTTP.
-    Http(BadHttp),
+    Http(HttpError),
     /// The status is not 200.
     Status(u16),
     /// A line or an event is too long.
     Long,
 }
 
-impl fmt::Display for BadStream {
+impl fmt::Display for EventStreamError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            BadStream::Http(error) => write!(f, "{error}"),
-            BadStream::Status(status) => write!(f, "unexpected status {status}"),
-            BadStream::Long => write!(f, "event exceeds {MAX_EVENT_BYTES} bytes"),
+            EventStreamError::Http(error) => write!(f, "{error}"),
+            EventStreamError::Status(status) => write!(f, "unexpected status {status}"),
+            EventStreamError::Long => write!(f, "event exceeds {MAX_EVENT_BYTES} bytes"),
         }
     }
 }
 
-impl std::error::Error for BadStream {}
+impl std::error::Error for EventStreamError {}
 
-impl From<BadHttp> for BadStream {
-    fn from(error: BadHttp) -> Self {
-        BadStream::Http(error)
+impl From<HttpError> for EventStreamError {
+    fn from(error: HttpError) -> Self {
+        EventStreamError::Http(error)
     }
 }
 
@@ -57,12 +57,12 @@
 
 impl Stream {
     /// Parses more bytes; returns the events that they complete.
-    pub fn feed(&mut self, bytes: &[u8]) -> Result<Vec<Event>, BadStream> {
+    pub fn feed(&mut self, bytes: &[u8]) -> Result<Vec<Event>, EventStreamError> {
         self.input.extend(bytes);
         if self.body.is_none() {
             let Some(head) = ResponseHead::decode(&mut self.input)? else { return Ok(Vec::new()) };
             if head.status != 200 {
-                return Err(BadStream::Status(head.status));
+                return Err(EventStreamError::Status(head.status));
             }
             self.body = Some(head.body);
         }
@@ -83,7 +83,7 @@
         self.text.drain(..begin);
         self.searched_bytes = self.text.len();
         if self.text.len() + self.event.data.len() > MAX_EVENT_BYTES {
-            return Err(BadStream::Long);
+            return Err(EventStreamError::Long);
         }
         Ok(events)
     }
--- a/crates/node/src/wire/sse/tests.rs
+++ b/crates/node/src/wire/sse/tests.rs
@@ -23,6 +23,6 @@
 
 #[test]
 fn responses_that_are_not_event_streams_are_rejected() {
-    assert_eq!(Stream::default().feed(b"HTTP/1.1 503 No\r\n\r\n"), Err(BadStream::Status(503)));
-    assert_eq!(Stream::default().feed(b"SSH-2.0\r\n\r\n"), Err(BadStream::Http(BadHttp::Head)));
+    assert_eq!(Stream::default().feed(b"HTTP/1.1 503 No\r\n\r\n"), Err(EventStreamError::Status(503)));
+    assert_eq!(Stream::default().feed(b"SSH-2.0\r\n\r\n"), Err(EventStreamError::Http(HttpError::Head)));
 }
