--- a/crates/node/src/wire/accept/connection.rs
+++ b/crates/node/src/wire/accept/connection.rs
@@ -1,10 +1,10 @@
-//! A client's connection: what is owed on it, how it is answered, passed on and closed.
+//! A client connection: its unanswered requests, and how it is answered, handed over and closed.
 use super::slots::{Slot, SlotKind, Slots};
-use super::Table;
+use super::SharedClientTable;
 use crate::core::{lock, monotonic_ms};
 use crate::memory::clients::ClientState;
 use crate::timers;
-use crate::wire::passage::{Passage, Passed};
+use crate::wire::passage::{AnswerForwarder, Passage};
 use crate::wire::socket::Socket;
 use corkbay::Ms;
 use corkbay_ledger::Account;
@@ -14,37 +14,44 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Most bytes that are read and thrown away after the last answer, and how many of the longest waits for one that may take.
-const LINGER_BYTES: usize = 4 << 20;
-const LINGER_WAITS: u32 = 4;
+/// Maximum number of bytes that are discarded after the last answer, and the maximum total time for that, in multiples of the
+/// timeout of one read.
+const MAX_LINGER_BYTES: usize = 4 << 20;
+const MAX_LINGER_WAITS: u32 = 4;
 
-/// How long a connection that is turned away keeps its slot though it asks nothing, in milliseconds.
-const TURN_AWAY_MS: Ms = 20.0;
+/// How long a connection beyond the limit keeps its slot without a request, in milliseconds. Bytes read in this time after
+/// the accept may have arrived while the connection was queued.
+const FIRST_READ_MS: Ms = 20.0;
 
-/// What a connection takes: the stack of its task as far as it is touched, a chunk, its entry.
+/// Memory of a connection: the touched part of its coroutine's stack, a read chunk and its table entry.
 pub const CONNECTION_BYTES: usize = 14 << 10;
 
-/// A client's connection with its entry in the table, which it keeps until the descriptor is closed.
+/// A client connection with its entry in the table, which is removed on drop.
 pub struct Connection {
     socket: Socket,
     number: u64,
-    clients: Table,
-    /// Posted when a request has come to its end on a connection that is drained.
+    clients: SharedClientTable,
+    /// Posted when a request ends while the connection is draining.
     ended: Semphore,
-    /// Where answers go once it was passed on. Held while one is written.
-    passed: Mutex<Option<Passed>>,
+    /// Forwards answers after the connection was handed over. Locked while an answer is written.
+    forwarder: Mutex<Option<AnswerForwarder>>,
     account: Account,
     slots: Arc<Slots>,
     kind: SlotKind,
-    let_in: Ms,
-    /// The earliest time at which it can have come to the listener's queue.
+    admitted_at: Ms,
+    /// The earliest time at which the connection can have entered the accept queue.
     queued_since: Ms,
-    /// Given back when it is passed on, or last, after the descriptor.
+    /// Released when the connection is handed over or, as the last field, after the descriptor is closed.
     slot: Mutex<Option<Slot>>,
 }
 
 impl Connection {
-    pub(super) fn new(socket: Socket, clients: &Table, slot: Slot, queued_since: Ms) -> Arc<Self> {
+    pub(super) fn new(
+        socket: Socket,
+        clients: &SharedClientTable,
+        slot: Slot,
+        queued_since: Ms,
+    ) -> Arc<Self> {
         let slots = slot.slots.clone();
         let socket = socket.on_reader_waits(move || slots.note_change());
         Arc::new_cyclic(|connection| {
@@ -54,11 +61,11 @@
                 number,
                 clients: clients.clone(),
                 ended: Semphore::new(0),
-                passed: Mutex::new(None),
+                forwarder: Mutex::new(None),
                 account: slot.memory.account().clone(),
                 slots: slot.slots.clone(),
                 kind: slot.kind,
-                let_in: monotonic_ms(),
+                admitted_at: monotonic_ms(),
                 queued_since,
                 slot: Mutex::new(Some(slot)),
             }
@@ -70,57 +77,57 @@
         self.number
     }
 
-    /// A request was taken on the connection: it keeps its slot until [`Connection::closed`].
+    /// Counts a request as unanswered: the connection is not evicted until [`Connection::closed`].
     pub fn opened(&self) {
         lock(&self.clients).opened(self.number);
         self.slots.note_change();
     }
 
-    /// A request on it has come to its end.
+    /// Counts a request as ended.
     pub fn closed(&self) {
         if lock(&self.clients).closed(self.number, monotonic_ms()) {
             self.ended.post();
         }
         if lock(&self.clients).leave(self.number) {
-            // What came meanwhile is read and answered by its reader, which ends after that.
+            // Its reader still handles the bytes that have arrived and then closes the connection.
             self.socket.shut(Shutdown::Read);
         }
         self.slots.note_change();
     }
 
-    /// Keeps the slot while a request is looked at and answered.
+    /// Keeps the connection from being evicted while a request is handled; ends with the returned guard.
     pub fn keep(&self) -> Kept<'_> {
         self.opened();
         Kept(self)
     }
 
-    /// Whether it was let in only to be told that there is no room for it.
+    /// Whether it was accepted beyond the limit, so that its requests are refused.
     pub fn is_turned_away(&self) -> bool {
         self.kind == SlotKind::Spare
     }
 
-    /// Whether it was let in to be turned away, and its reader may still be about to take what it asks.
-    pub(super) fn is_being_turned_away(&self) -> bool {
-        self.is_turned_away() && monotonic_ms() < self.let_in + TURN_AWAY_MS
+    /// Whether it was accepted beyond the limit and its first request may still be about to be read.
+    pub(super) fn is_awaiting_refused_request(&self) -> bool {
+        self.is_turned_away() && monotonic_ms() < self.admitted_at + FIRST_READ_MS
     }
 
-    /// The earliest time at which what is read on it now can have come.
-    pub fn came_at(&self) -> Ms {
+    /// The earliest time at which the bytes that are read now can have arrived.
+    pub fn earliest_arrival(&self) -> Ms {
         let now = monotonic_ms();
-        // What it brought along from the queue is read at once.
-        if now < self.let_in + TURN_AWAY_MS {
+        // Bytes that arrived while the connection was queued are read right after the accept.
+        if now < self.admitted_at + FIRST_READ_MS {
             self.queued_since.min(now)
         } else {
             now
         }
     }
 
-    /// Waits until a request has come to its end on the connection, which is drained, or for that long.
+    /// Waits until a request ends on this draining connection, for `within` at most.
     pub fn wait_for_an_end(&self, within: Duration) {
         timers::wait_for_post(&self.ended, within);
     }
 
-    /// Where what is read on the connection counts.
+    /// The account that bytes read from the connection are charged to.
     pub fn account(&self) -> &Account {
         &self.account
     }
@@ -132,74 +139,82 @@
         Ok(())
     }
 
-    /// Ends what is owed under that number, with these bytes or, where nobody waits any more, with none. `settle` strikes
-    /// it out, and tells whether it was still owed; what is `held` for it is given back after, whichever process writes.
-    pub fn end(&self, seqid: i32, bytes: Vec<u8>, settle: impl FnOnce() -> bool, held: impl Send + 'static) {
-        // Not while the connection passes on: what is owed goes with it or is ended, never neither or both.
-        let passed = lock(&self.passed);
+    /// Ends the request with that sequence number and writes its encoded answer; `bytes` is empty if the client no longer
+    /// waits. `settle` removes the request and returns whether it was still unanswered. `held` is released after the answer
+    /// is written, whichever process writes it.
+    pub fn finish_request(
+        &self,
+        seqid: i32,
+        bytes: Vec<u8>,
+        settle: impl FnOnce() -> bool,
+        held: impl Send + 'static,
+    ) {
+        // Excludes a concurrent handover: each request is either handed over or ended here, never both or neither.
+        let forwarder = lock(&self.forwarder);
         if !settle() {
             return;
         }
-        if let Some(passed) = &*passed {
-            return passed.end(seqid, bytes, Box::new(held));
+        if let Some(forwarder) = &*forwarder {
+            return forwarder.forward(seqid, bytes, Box::new(held));
         }
         if !bytes.is_empty() {
-            // A client that can't be written to is seen by the reading side of its connection.
+            // Write errors are ignored: the read loop detects a broken connection.
             let _ = self.answer(&bytes);
         }
-        drop(passed);
+        drop(forwarder);
         self.closed();
     }
 
-    /// Passes the connection on, unless an answer is being written; told by its reader, which has read whole messages
-    /// only and reads no more once it is true.
-    pub fn pass(&self, passage: &Passage, owed: impl FnOnce() -> Vec<i32>) -> bool {
-        let Ok(mut passed) = self.passed.try_lock() else { return false };
-        if !passage.is_open() || !lock(&self.clients).hand_over(self.number) {
+    /// Hands the connection over to the successor, unless an answer is being written. Called by the reader when no incomplete
+    /// message is buffered; it must not read any more if this returns true.
+    pub fn hand_over(&self, handover: &Passage, unanswered: impl FnOnce() -> Vec<i32>) -> bool {
+        let Ok(mut forwarder_slot) = self.forwarder.try_lock() else { return false };
+        if !handover.is_open() || !lock(&self.clients).hand_over(self.number) {
             return false;
         }
-        let ours = passage.pass(|| self.socket.duplicate(), owed());
-        if ours.is_none() {
-            // It is left as any other.
+        let forwarder = handover.pass(|| self.socket.duplicate(), unanswered());
+        if forwarder.is_none() {
+            // The handover failed: the connection is drained as usual.
             self.shut(Shutdown::Read);
             return false;
         }
-        *passed = ours;
+        *forwarder_slot = forwarder;
         lock(&self.clients).remove(self.number);
         drop(lock(&self.slot).take());
         true
     }
 
-    /// Whether it is to be closed once nothing is owed on it.
+    /// Whether it is closed once all requests are answered.
     pub fn is_draining(&self) -> bool {
         lock(&self.clients).is_draining(self.number)
     }
 
-    /// Whether its reader was told so: from then on an end of what is read tells nothing of the client.
+    /// Whether the read side was shut down by this process. From then on an end of the stream doesn't mean that the client
+    /// disconnected.
     pub fn is_shut(&self) -> bool {
         lock(&self.clients).is_shut(self.number)
     }
 
-    /// Whether another waits for its place, so that what has not come whole is not waited for.
+    /// Whether another connection waits for its slot, so that the rest of an incomplete message is not waited for.
     pub fn is_evicted(&self) -> bool {
         lock(&self.clients).is_evicted(self.number)
     }
 
-    /// Lets the client read the last answer: a connection closed over bytes that were not read is reset, and
-    /// the answer may be lost with it. `within` is for each wait, and [`LINGER_WAITS`] times that for all.
+    /// Lets the client read the last answer: closing a connection with unread bytes resets it, and the answer may be lost.
+    /// `within` is the timeout of each read; [`MAX_LINGER_WAITS`] times that is the limit in total.
     pub fn linger(&self, within: Duration) {
         self.shut(Shutdown::Write);
-        let end = monotonic_ms() + (within * LINGER_WAITS).as_secs_f64() * 1000.0;
-        let (mut chunk, mut left) = ([0; 1024], LINGER_BYTES);
+        let end = monotonic_ms() + (within * MAX_LINGER_WAITS).as_secs_f64() * 1000.0;
+        let (mut chunk, mut remaining_bytes) = ([0; 1024], MAX_LINGER_BYTES);
         while let Ok(size @ 1..) = self.read(&mut chunk, within) {
-            left = left.saturating_sub(size);
-            if left == 0 || monotonic_ms() > end {
+            remaining_bytes = remaining_bytes.saturating_sub(size);
+            if remaining_bytes == 0 || monotonic_ms() > end {
                 return;
             }
         }
     }
 
-    /// What the connection is waiting for, and since when.
+    /// The state of the connection, and since when in milliseconds.
     pub fn state(&self) -> (ClientState, Ms) {
         lock(&self.clients).state(self.number)
     }
@@ -219,7 +234,7 @@
     }
 }
 
-/// A request that is being looked at on a connection.
+/// Guard that counts a request as unanswered while it is handled.
 pub struct Kept<'a>(&'a Connection);
 
 impl Drop for Kept<'_> {
--- a/crates/node/src/wire/accept/slots.rs
+++ b/crates/node/src/wire/accept/slots.rs
@@ -1,4 +1,4 @@
-//! How many connections are held at a time, and what each gives back at its end.
+//! Counts the open connections of a listener against its limit.
 use crate::core::{lock, monotonic_ms, until};
 use crate::timers;
 use corkbay_ledger::Reservation;
@@ -7,100 +7,102 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Connections beyond the limit that may be held at once to be turned away.
-pub(super) const SPARE_SLOTS: usize = 4;
+/// Maximum number of connections beyond the limit, whose requests are refused.
+pub(super) const MAX_SPARE_SLOTS: usize = 4;
 
-/// How many connections are held, and how many may be.
+/// The slots of a listener, one per open connection.
 pub(super) struct Slots {
-    held: Mutex<Held>,
-    most: AtomicUsize,
+    counts: Mutex<SlotCounts>,
+    limit: AtomicUsize,
     changed: Condvar,
 }
 
 #[derive(Default)]
-struct Held {
+struct SlotCounts {
     regular: usize,
-    /// Beyond the limit, to be turned away.
+    /// Connections beyond the limit.
     spare: usize,
-    /// Counts what may let a newcomer in: slots given back, and requests that have come to their end.
+    /// Number of events after which a new connection may be admitted: released slots, requests that started or ended, and
+    /// readers that began to wait.
     changes: u64,
 }
 
 impl Slots {
-    pub(super) fn new(most: usize) -> Self {
-        Slots { held: Mutex::default(), most: AtomicUsize::new(most.max(1)), changed: Condvar::new() }
+    pub(super) fn new(limit: usize) -> Self {
+        Slots { counts: Mutex::default(), limit: AtomicUsize::new(limit.max(1)), changed: Condvar::new() }
     }
 
-    fn is_full(&self, held: &Held) -> bool {
-        held.regular >= self.most.load(Ordering::Acquire)
+    fn is_full(&self, counts: &SlotCounts) -> bool {
+        counts.regular >= self.limit.load(Ordering::Acquire)
     }
 
     /// Takes a slot if one is free.
     pub(super) fn take(&self) -> bool {
-        let mut held = lock(&self.held);
-        let free = !self.is_full(&held);
-        held.regular += usize::from(free);
+        let mut counts = lock(&self.counts);
+        let free = !self.is_full(&counts);
+        counts.regular += usize::from(free);
         free
     }
 
     /// Takes a slot beyond the limit if one is free.
     pub(super) fn take_spare(&self) -> bool {
-        let mut held = lock(&self.held);
-        let free = held.spare < SPARE_SLOTS;
-        held.spare += usize::from(free);
+        let mut counts = lock(&self.counts);
+        let free = counts.spare < MAX_SPARE_SLOTS;
+        counts.spare += usize::from(free);
         free
     }
 
-    pub(super) fn give_back(&self, kind: SlotKind) {
-        let mut held = lock(&self.held);
+    pub(super) fn release(&self, kind: SlotKind) {
+        let mut counts = lock(&self.counts);
         match kind {
-            SlotKind::Regular => held.regular -= 1,
-            SlotKind::Spare => held.spare -= 1,
+            SlotKind::Regular => counts.regular -= 1,
+            SlotKind::Spare => counts.spare -= 1,
         }
-        held.changes += 1;
+        counts.changes += 1;
         self.changed.notify_all();
     }
 
-    /// Takes a slot whether one is free or not.
+    /// Takes a slot regardless of the limit.
     pub(super) fn take_over(&self) {
-        lock(&self.held).regular += 1;
+        lock(&self.counts).regular += 1;
     }
 
-    /// Connections that are held, those beyond the limit included.
-    pub(super) fn held(&self) -> usize {
-        let held = lock(&self.held);
-        held.regular + held.spare
+    /// Number of open connections, including those beyond the limit.
+    pub(super) fn open_connections(&self) -> usize {
+        let counts = lock(&self.counts);
+        counts.regular + counts.spare
     }
 
-    /// Sets how many may be held from now on, at least one.
-    pub(super) fn set_most(&self, most: usize) {
-        self.most.store(most.max(1), Ordering::Release);
+    /// Changes the limit; at least one connection is always allowed.
+    pub(super) fn set_limit(&self, limit: usize) {
+        self.limit.store(limit.max(1), Ordering::Release);
     }
 
-    /// A connection may have become idle.
+    /// Wakes waiters because a connection may have become idle.
     pub(super) fn note_change(&self) {
-        lock(&self.held).changes += 1;
+        lock(&self.counts).changes += 1;
         self.changed.notify_all();
     }
 
+    /// Current value of the change counter, for [`Slots::wait_for_change`].
     pub(super) fn changes(&self) -> u64 {
-        lock(&self.held).changes
+        lock(&self.counts).changes
     }
 
-    /// Waits until a slot is free, for that long at most.
+    /// Waits until a slot is free, for `within` at most.
     pub(super) fn wait_for_free(&self, within: Duration) {
         let end = monotonic_ms() + within.as_secs_f64() * 1000.0;
-        let mut held = lock(&self.held);
-        while self.is_full(&held) && monotonic_ms() < end {
-            held = timers::wait(&self.changed, held, until(end));
+        let mut counts = lock(&self.counts);
+        while self.is_full(&counts) && monotonic_ms() < end {
+            counts = timers::wait(&self.changed, counts, until(end));
         }
     }
 
-    /// Waits until there are other changes than those that were seen, for that long at most.
+    /// Waits until the change counter differs from `seen`, for `within` at most.
     pub(super) fn wait_for_change(&self, seen: u64, within: Duration) {
-        let held = lock(&self.held);
-        if held.changes == seen {
-            drop(timers::wait(&self.changed, held, within));
+        let counts = lock(&self.counts);
+        if counts.changes == seen {
+            drop(timers::wait(&self.changed, counts, within));
         }
     }
 }
@@ -108,11 +110,11 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum SlotKind {
     Regular,
-    /// Beyond the limit: what is asked on the connection is refused.
+    /// Beyond the limit: requests on the connection are refused.
     Spare,
 }
 
-/// A client's slot and memory, given back however its task ends.
+/// The slot and memory of a connection, released on drop.
 pub(super) struct Slot {
     pub(super) slots: Arc<Slots>,
     pub(super) kind: SlotKind,
@@ -121,6 +123,6 @@
 
 impl Drop for Slot {
     fn drop(&mut self) {
-        self.slots.give_back(self.kind);
+        self.slots.release(self.kind);
     }
 }
--- a/crates/node/src/wire/accept/tests.rs
+++ b/crates/node/src/wire/accept/tests.rs
@@ -2,10 +2,10 @@
 use std::io::{Read, Write};
 use std::sync::mpsc::channel;
 
-const MEMORY: usize = 1 << 20;
+const MEMORY_BYTES: usize = 1 << 20;
 
 fn acceptor(most: usize) -> Arc<Acceptor> {
-    acceptor_within(most, Account::root("clients", MEMORY))
+    acceptor_within(most, Account::root("clients", MEMORY_BYTES))
 }
 
 fn acceptor_within(most: usize, account: Account) -> Arc<Acceptor> {
@@ -13,14 +13,15 @@
     Acceptor::open("127.0.0.1:0".parse().expect("address"), limits).expect("a port")
 }
 
-/// Guards who stands in the queue when the listener is closed, while the acceptor has had no turn: its word that it waits
-/// was an old one, and the kernel reset them.
+/// Connections in the accept queue must be served when the listener is closed, even if the accepting coroutine has not been
+/// scheduled since they arrived. When the close relied on an outdated note that the coroutine was waiting, the kernel reset
+/// them.
 #[test]
-fn who_stands_in_the_queue_is_let_in_before_the_listener_is_closed() {
+fn queued_connections_are_accepted_before_the_listener_is_closed() {
     let acceptor = acceptor(4);
-    let ours = acceptor.clone();
-    spawn(move || ours.accept(|connection| _ = connection.answer(b"served")));
-    // The acceptor waits, and then nothing has a turn.
+    let accepting = acceptor.clone();
+    spawn(move || accepting.accept(|connection| _ = connection.answer(b"served")));
+    // Once the acceptor waits, all scheduler threads are blocked.
     std::thread::sleep(Duration::from_millis(50));
     for _ in 0..may::config().get_workers() {
         spawn(|| std::thread::sleep(Duration::from_millis(200)));
@@ -33,41 +34,43 @@
     assert_eq!(text, "served");
 }
 
-/// Guards a message that was read and waits, for memory for one, while another client comes for the slot or all are
-/// drained: the reading side of its connection was shut, so that its client was not seen to leave.
+/// A reader may be busy with a message that it has read, for example waiting for memory, while another client wants the slot
+/// or all connections are drained. The read side of its connection was shut down then, so that a client that disconnected
+/// went unnoticed.
 #[test]
-fn a_connection_whose_reader_is_at_work_is_not_shut() {
+fn a_connection_with_a_busy_reader_is_not_shut() {
     let acceptor = acceptor(1);
-    let (tell, told) = channel();
-    let ours = acceptor.clone();
+    let (sender, receiver) = channel();
+    let accepting = acceptor.clone();
     spawn(move || {
-        ours.accept(move |connection| {
+        accepting.accept(move |connection| {
             let size = connection.read(&mut [0; 8], Duration::from_secs(5));
-            tell.send("has read").expect("told");
-            may::coroutine::sleep(3 * GIVE_WAY);
+            sender.send("has read").expect("sent");
+            may::coroutine::sleep(3 * EVICTION_WAIT);
             let is_served = size.is_ok() && !connection.is_shut();
             let _ = connection.answer(if is_served { b"served" } else { b"shut" });
         });
     });
     let mut client = TcpStream::connect(acceptor.address().expect("bound")).expect("connects");
     client.write_all(b"long").expect("written");
-    told.recv().expect("read");
-    let _newcomer = TcpStream::connect(acceptor.address().expect("bound")).expect("connects");
-    std::thread::sleep(GIVE_WAY / 2);
+    receiver.recv().expect("read");
+    let _new_client = TcpStream::connect(acceptor.address().expect("bound")).expect("connects");
+    std::thread::sleep(EVICTION_WAIT / 2);
     acceptor.drain();
     let mut text = String::new();
     client.read_to_string(&mut text).expect("not reset");
     assert_eq!(text, "served");
 }
 
-/// Guards the cap of what clients take: those that are let in only to be turned away were counted over it.
+/// Connections that are accepted beyond the limit only to be refused must not exceed the cap of the clients' account, as
+/// they once did.
 #[test]
-fn clients_that_are_turned_away_stay_within_the_account() {
+fn refused_clients_stay_within_the_account() {
     let account = Account::root("clients", 6 * CONNECTION_BYTES);
     let acceptor = acceptor_within(60, account.clone());
-    let ours = acceptor.clone();
+    let accepting = acceptor.clone();
     spawn(move || {
-        ours.accept(|connection| {
+        accepting.accept(|connection| {
             connection.opened();
             let is_turned_away = connection.is_turned_away();
             let _ = connection.answer(if is_turned_away { b"no room" } else { b"let in " });
@@ -75,17 +78,17 @@
             connection.closed();
         });
     });
-    let mut said = Vec::new();
+    let mut answers = Vec::new();
     let clients: Vec<_> = (0..4)
         .map(|_| {
             let mut client = TcpStream::connect(acceptor.address().expect("bound")).expect("connects");
             let mut text = [0; 7];
             client.read_exact(&mut text).expect("answered");
-            said.push(String::from_utf8_lossy(&text).into_owned());
+            answers.push(String::from_utf8_lossy(&text).into_owned());
             client
         })
         .collect();
-    assert_eq!(said, ["let in ", "let in ", "no room", "no room"]);
+    assert_eq!(answers, ["let in ", "let in ", "no room", "no room"]);
     assert!(account.peak() <= account.cap(), "{} of {}", account.peak(), account.cap());
     drop(clients);
 }
--- a/crates/node/src/wire/front.rs
+++ b/crates/node/src/wire/front.rs
@@ -1,7 +1,7 @@
-//! The platform's front: Thrift in, calls to the core, answers out.
+//! The Thrift front: reads requests from client connections, hands them to the invoker and writes the answers.
 use super::accept::Connection;
 use super::intake::{Intake, CHUNK};
-use super::passage::{Arrival, Passage};
+use super::passage::{Passage, ReceivedConnection};
 use super::thrift::{self, Fields, Malformed, Message, Reply};
 use crate::core::{lock, monotonic_ms, until, Answer, Call, Failure, Invoker, NotTaken};
 use crate::life::spawn;
@@ -17,88 +17,101 @@
 use std::sync::{Arc, Weak};
 use std::time::Duration;
 
-/// Requests that one connection may have open.
-const OPEN: usize = 32;
-/// A connection that was answered and has nothing open is closed after this; clients close theirs sooner.
-const IDLE_MS: Ms = 4500.0;
-/// One that never had an answer is closed after this, and looked at as often while something is open.
-const SILENT_MS: Ms = 1000.0;
-/// Longest time from a message's first byte to its last.
-const MESSAGE_MS: Ms = 1500.0;
-/// Longest time for which a client may take nothing of an answer that is written to it.
+/// Maximum number of unanswered requests per connection.
+const MAX_OPEN_REQUESTS: usize = 32;
+/// A connection that has been answered before and has no open request is closed after this time. Clients close idle
+/// connections sooner.
+const IDLE_TIMEOUT_MS: Ms = 4500.0;
+/// A connection that has never been answered and has no open request is closed after this time. Also the poll interval
+/// of a connection with open requests.
+const UNANSWERED_TIMEOUT_MS: Ms = 1000.0;
+/// Maximum time between the first and the last byte of a message.
+const MESSAGE_TIMEOUT_MS: Ms = 1500.0;
+/// A write fails if the client accepts no bytes for this long.
 pub const WRITE_STALL: Duration = Duration::from_secs(2);
-/// Unusable messages after which a connection is closed, and how many of them are written to the log.
-const STRIKES: u32 = 64;
-const LOGGED: u32 = 3;
-/// Chunks that may be read in a row that a client keeps full, and the rest after them.
-const TURN_CHUNKS: u32 = 4;
-const TURN_REST: Duration = Duration::from_millis(1);
-/// How often a connection that is drained is looked at.
-const DRAIN_LOOK: Duration = Duration::from_millis(20);
-/// Advice to a client that opens more than it may.
-const CROWDED_MS: f64 = 100.0;
-/// Advice to a client of a process that is about to end.
-const DRAINING_MS: f64 = 200.0;
-const MAX_KEY: usize = 128;
-/// Largest figure of a request that is believed.
-const MOST_FIGURE: f64 = 1e6;
+/// Number of malformed messages after which a connection is closed, and how many of them are logged.
+const MAX_MALFORMED_MESSAGES: u32 = 64;
+const MAX_LOGGED_MALFORMED: u32 = 3;
+/// After this many full chunks in a row, reading pauses so that a client that sends continuously does not block other
+/// coroutines.
+const FULL_CHUNKS_BEFORE_PAUSE: u32 = 4;
+const READ_PAUSE: Duration = Duration::from_millis(1);
+/// Poll interval of a connection that is being drained.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Retry delay sent to a client that exceeds a limit on open requests or connections.
+const OVERLOAD_RETRY_AFTER_MS: f64 = 100.0;
+/// Retry delay sent to a client while this process is draining.
+const DRAINING_RETRY_AFTER_MS: f64 = 200.0;
+/// Maximum length of an idempotency key.
+const MAX_KEY_BYTES: usize = 128;
+/// Upper bound for numeric fields of a request; larger values are rejected as out of range.
+const MAX_FIELD_VALUE: f64 = 1e6;
 
-/// What is owed on a connection, by its sequence number.
+/// The process that will answer an open request of a connection.
 #[derive(Clone, Copy, Debug)]
-enum Owed {
-    /// By this process.
-    Here(RequestId),
-    /// By the one that passed the connection on.
-    Before,
+enum Responder {
+    /// This process, under the given request id.
+    Local(RequestId),
+    /// The process that handed the connection over.
+    Predecessor,
 }
 
-impl Owed {
-    fn here(self) -> Option<RequestId> {
+impl Responder {
+    fn local_id(self) -> Option<RequestId> {
         match self {
-            Owed::Here(id) => Some(id),
-            Owed::Before => None,
+            Responder::Local(id) => Some(id),
+            Responder::Predecessor => None,
         }
     }
 }
 
-type Open = Arc<Mutex<HashMap<i32, Owed>>>;
+/// The unanswered requests of a connection by sequence number.
+type OpenRequests = Arc<Mutex<HashMap<i32, Responder>>>;
 
-/// What this process owes of it.
-fn owed_here(open: &Open) -> Vec<RequestId> {
-    lock(open).values().filter_map(|owed| owed.here()).collect()
+/// The unanswered requests that this process handles itself.
+fn local_request_ids(open_requests: &OpenRequests) -> Vec<RequestId> {
+    lock(open_requests).values().filter_map(|responder| responder.local_id()).collect()
 }
 
-/// The life of one client connection. Once this process leaves, it may pass on to the next one.
-pub fn serve(invoker: &Arc<Invoker>, passage: &Passage, connection: Arc<Connection>) {
-    keep(invoker, passage, &connection, Open::default());
+/// Serves a client connection until it ends or, while this process drains, is handed over to the successor.
+pub fn serve(invoker: &Arc<Invoker>, handover: &Passage, connection: Arc<Connection>) {
+    serve_until_end(invoker, handover, &connection, OpenRequests::default());
 }
 
-/// Takes over a connection on which another process still owes those requests; what it tells of them goes to what is
-/// returned.
+/// Takes over a connection from another process that still has to answer the requests with the given sequence numbers.
+/// Answers from that process are to be passed to the returned value.
 pub fn resume(
     invoker: &Arc<Invoker>,
-    passage: &Arc<Passage>,
+    handover: &Arc<Passage>,
     connection: Arc<Connection>,
-    owed: &[i32],
-) -> impl Arrival {
-    let open: Open = Arc::new(Mutex::new(owed.iter().map(|seqid| (*seqid, Owed::Before)).collect()));
-    owed.iter().for_each(|_| connection.opened());
+    unanswered: &[i32],
+) -> impl ReceivedConnection {
+    let open_requests: OpenRequests =
+        Arc::new(Mutex::new(unanswered.iter().map(|seqid| (*seqid, Responder::Predecessor)).collect()));
+    unanswered.iter().for_each(|_| connection.opened());
     invoker.counters.taken_over.add();
-    let arrived = Arrived { connection: Arc::downgrade(&connection), open: open.clone() };
-    let (invoker, passage) = (invoker.clone(), passage.clone());
-    spawn(move || keep(&invoker, &passage, &connection, open));
-    arrived
+    let taken_over =
+        TakenOverConnection { connection: Arc::downgrade(&connection), open_requests: open_requests.clone() };
+    let (invoker, handover) = (invoker.clone(), handover.clone());
+    spawn(move || serve_until_end(&invoker, &handover, &connection, open_requests));
+    taken_over
 }
 
-fn keep(invoker: &Arc<Invoker>, passage: &Passage, connection: &Arc<Connection>, open: Open) {
-    let mut left = Leave { invoker: invoker.clone(), open: open.clone(), passed: false };
-    match receive(invoker, passage, connection, &open) {
-        Ok(End::Passed) => {
+fn serve_until_end(
+    invoker: &Arc<Invoker>,
+    handover: &Passage,
+    connection: &Arc<Connection>,
+    open_requests: OpenRequests,
+) {
+    let mut withdraw_on_drop =
+        WithdrawOnDrop { invoker: invoker.clone(), open_requests: open_requests.clone(), handed_over: false };
+    match read_messages(invoker, handover, connection, &open_requests) {
+        Ok(ReadEnd::HandedOver) => {
             invoker.counters.passed_on.add();
-            left.passed = true;
+            withdraw_on_drop.handed_over = true;
             return;
         }
-        Ok(End::Closed) => {}
+        Ok(ReadEnd::Closed) => {}
         Err(malformed) => {
             invoker.counters.malformed.add();
             tracing::info!(%malformed, "client connection closed");
@@ -107,143 +120,145 @@
     connection.shut(Shutdown::Both);
 }
 
-/// A connection that was taken over, as the process that passed it on sees it.
-struct Arrived {
+/// Receives the answers that the previous process sends for a connection that was taken over.
+struct TakenOverConnection {
     connection: Weak<Connection>,
-    open: Open,
+    open_requests: OpenRequests,
 }
 
-impl Arrival for Arrived {
-    fn end(&self, seqid: i32, bytes: Vec<u8>) {
-        let (connection, open) = (self.connection.clone(), self.open.clone());
-        // The connection may end here, which only a coroutine may do.
+impl ReceivedConnection for TakenOverConnection {
+    fn finish_request(&self, seqid: i32, bytes: Vec<u8>) {
+        let (connection, open_requests) = (self.connection.clone(), self.open_requests.clone());
+        // The connection may be dropped here, which is only allowed in a coroutine.
         spawn(move || {
-            // It may have ended before, or its client may have taken the request back.
+            // The connection may have ended already, or the client may have cancelled the request.
             let Some(connection) = connection.upgrade() else { return };
             let held = connection.account().owe(bytes.len());
-            connection.end(seqid, bytes, || lock(&open).remove(&seqid).is_some(), held);
+            connection.finish_request(seqid, bytes, || lock(&open_requests).remove(&seqid).is_some(), held);
         });
     }
 
-    fn abandon(&self) {
-        let owed: Vec<i32> = lock(&self.open)
+    fn fail_unanswered(&self) {
+        let unanswered: Vec<i32> = lock(&self.open_requests)
             .iter()
-            .filter(|(_, owed)| owed.here().is_none())
+            .filter(|(_, responder)| responder.local_id().is_none())
             .map(|(seqid, _)| *seqid)
             .collect();
         let answer = |seqid| thrift::reply("dispatch", seqid, crashed("the process that took it has ended"));
-        owed.into_iter().for_each(|seqid| self.end(seqid, answer(seqid)));
+        unanswered.into_iter().for_each(|seqid| self.finish_request(seqid, answer(seqid)));
     }
 }
 
-/// How a connection ended for its reader.
-enum End {
+/// Why the read loop of a connection ended.
+enum ReadEnd {
     Closed,
-    /// Another process reads on.
-    Passed,
+    /// Another process continues to read from the connection.
+    HandedOver,
 }
 
-/// Withdraws what a connection left open, however its task ends.
-struct Leave {
+/// Withdraws the open requests of a connection when its task ends for any reason, including a panic.
+struct WithdrawOnDrop {
     invoker: Arc<Invoker>,
-    open: Open,
-    /// Whoever was asked for goes on.
-    passed: bool,
+    open_requests: OpenRequests,
+    /// The connection lives on in another process, so its requests continue.
+    handed_over: bool,
 }
 
-impl Drop for Leave {
+impl Drop for WithdrawOnDrop {
     fn drop(&mut self) {
-        if !self.passed {
-            owed_here(&self.open).into_iter().for_each(|id| self.invoker.withdraw(id));
+        if !self.handed_over {
+            local_request_ids(&self.open_requests).into_iter().for_each(|id| self.invoker.withdraw(id));
         }
     }
 }
 
-/// Reads messages until the connection ends, is no longer kept or can't be read any further.
-fn receive(
+/// Reads and handles messages until the connection is closed, times out, is handed over or sends a message after which
+/// the stream can't be read any further.
+fn read_messages(
     invoker: &Arc<Invoker>,
-    passage: &Passage,
+    handover: &Passage,
     connection: &Arc<Connection>,
-    open: &Open,
-) -> Result<End, Malformed> {
-    let (mut intake, mut chunk) = (Intake::new(connection.account(), Purpose::Clients), vec![0; CHUNK]);
-    let (mut begun, mut strikes, mut last_request, mut full_chunks) = (0.0, 0, 0.0, 0);
+    open_requests: &OpenRequests,
+) -> Result<ReadEnd, Malformed> {
+    let (mut buffer, mut chunk) = (Intake::new(connection.account(), Purpose::Clients), vec![0; CHUNK]);
+    let (mut message_began, mut malformed_messages, mut last_request, mut full_chunks) = (0.0, 0, 0.0, 0);
     loop {
-        let Some(message) = thrift::unframe(intake.bytes())? else {
-            if intake.is_empty()
+        let Some(message) = thrift::unframe(buffer.bytes())? else {
+            if buffer.is_empty()
                 && connection.is_draining()
-                && connection.pass(passage, || lock(open).keys().copied().collect())
+                && connection.hand_over(handover, || lock(open_requests).keys().copied().collect())
             {
-                return Ok(End::Passed);
+                return Ok(ReadEnd::HandedOver);
             }
             let (state, since) = connection.state();
             if connection.is_turned_away() && state == ClientState::Idle && !connection.has_unread() {
-                return Ok(End::Closed);
+                return Ok(ReadEnd::Closed);
             }
             let end = match state {
                 ClientState::Busy if connection.is_draining() => {
-                    monotonic_ms() + DRAIN_LOOK.as_millis() as Ms
+                    monotonic_ms() + DRAIN_POLL_INTERVAL.as_millis() as Ms
                 }
-                ClientState::Busy => monotonic_ms() + SILENT_MS,
-                _ if !intake.is_empty() => begun + MESSAGE_MS,
-                ClientState::Idle => since + IDLE_MS,
-                ClientState::Silent => since + SILENT_MS,
+                ClientState::Busy => monotonic_ms() + UNANSWERED_TIMEOUT_MS,
+                _ if !buffer.is_empty() => message_began + MESSAGE_TIMEOUT_MS,
+                ClientState::Idle => since + IDLE_TIMEOUT_MS,
+                ClientState::Silent => since + UNANSWERED_TIMEOUT_MS,
             };
             if connection.is_draining() && invoker.duty().ends(monotonic_ms(), last_request) {
-                owed_here(open).into_iter().for_each(|id| invoker.end(id));
+                local_request_ids(open_requests).into_iter().for_each(|id| invoker.end(id));
             }
-            let fresh = intake.is_empty();
-            match intake.fill(connection, &mut chunk, until(end)) {
-                // Its reading side is shut: what crosses is read on, and the connection is closed once nothing is owed on it.
+            let was_empty = buffer.is_empty();
+            match buffer.fill(connection, &mut chunk, until(end)) {
+                // The read side was shut down by this process. Bytes that were sent before are still read, and the
+                // connection is closed once all requests are answered.
                 Ok(0) if connection.is_shut() => {
-                    // An answer that is being written is owed as well.
-                    let owes = connection.state().0 == ClientState::Busy;
-                    if !owes && (intake.is_empty() || monotonic_ms() > end || connection.is_evicted()) {
-                        return Ok(End::Closed);
+                    // A request also counts as unanswered while its answer is being written.
+                    let is_busy = connection.state().0 == ClientState::Busy;
+                    if !is_busy && (buffer.is_empty() || monotonic_ms() > end || connection.is_evicted()) {
+                        return Ok(ReadEnd::Closed);
                     }
-                    connection.wait_for_an_end(DRAIN_LOOK);
+                    connection.wait_for_an_end(DRAIN_POLL_INTERVAL);
                 }
-                Ok(0) => return Ok(End::Closed),
+                Ok(0) => return Ok(ReadEnd::Closed),
                 Ok(size) => {
-                    begun = if fresh { monotonic_ms() } else { begun };
+                    message_began = if was_empty { monotonic_ms() } else { message_began };
                     full_chunks = if size < CHUNK { 0 } else { full_chunks + 1 };
-                    if full_chunks >= TURN_CHUNKS {
-                        // Reading what is there never waits, and who never waits holds up all others. A yield would not
-                        // do: the scheduler asks for events once its queue is empty.
+                    if full_chunks >= FULL_CHUNKS_BEFORE_PAUSE {
+                        // Reading available bytes never suspends the coroutine, so other coroutines would starve. A yield
+                        // is not enough: the scheduler polls for events only once its run queue is empty.
                         full_chunks = 0;
-                        timers::sleep(TURN_REST);
+                        timers::sleep(READ_PAUSE);
                     }
                 }
                 Err(error) if error.kind() == ErrorKind::TimedOut => {
-                    // An answer may have gone out, or a request may have ended, while this waited. What is owed outlasts
-                    // half a message behind it.
-                    let over = !intake.is_empty() || connection.state() == (state, since);
-                    if over && state != ClientState::Busy {
-                        return Ok(End::Closed);
+                    // The state may have changed during the wait because an answer was written or a request ended.
+                    // Open requests keep the connection alive even if an incomplete message behind them times out.
+                    let timed_out = !buffer.is_empty() || connection.state() == (state, since);
+                    if timed_out && state != ClientState::Busy {
+                        return Ok(ReadEnd::Closed);
                     }
                 }
-                Err(_) => return Ok(End::Closed),
+                Err(_) => return Ok(ReadEnd::Closed),
             }
             continue;
         };
-        begun = monotonic_ms();
-        let usable = match thrift::read(&message) {
+        message_began = monotonic_ms();
+        let result = match thrift::parse_message(&message) {
             Ok(Message::Dispatch { seqid, fields, body }) => {
-                last_request = begun;
-                if lock(open).contains_key(&seqid) {
-                    // An answer to one could be taken for the other's.
+                last_request = message_began;
+                if lock(open_requests).contains_key(&seqid) {
+                    // The client could not tell which of the two requests an answer belongs to.
                     let what = "the sequence number is open already";
                     return Err(Malformed { call: None, what, unknown_method: false });
                 }
-                dispatch(invoker, open, connection, seqid, &fields, body)
+                dispatch(invoker, open_requests, connection, seqid, &fields, body)
             }
             Ok(Message::Cancel { seqid }) => {
-                let owed = lock(open).get(&seqid).copied();
-                match owed {
-                    Some(Owed::Here(id)) => invoker.withdraw(id),
-                    // It runs to its end there, and nobody is told.
-                    Some(Owed::Before) => {
-                        lock(open).remove(&seqid);
+                let responder = lock(open_requests).get(&seqid).copied();
+                match responder {
+                    Some(Responder::Local(id)) => invoker.withdraw(id),
+                    // The other process completes the call; its answer is discarded here.
+                    Some(Responder::Predecessor) => {
+                        lock(open_requests).remove(&seqid);
                         connection.closed();
                     }
                     None => {}
@@ -251,8 +266,11 @@
                 Ok(())
             }
             Ok(Message::Alive { seqid }) => {
-                let good = invoker.duty().leaving().is_none();
-                write(connection, &thrift::reply("alive", seqid, Reply::Answer { body: Vec::new(), good }));
+                let is_success = invoker.duty().leaving().is_none();
+                write(
+                    connection,
+                    &thrift::reply("alive", seqid, Reply::Answer { body: Vec::new(), is_success }),
+                );
                 Ok(())
             }
             Err(malformed) => match &malformed.call {
@@ -264,13 +282,13 @@
                 None => return Err(malformed),
             },
         };
-        if let Err(what) = usable {
+        if let Err(what) = result {
             invoker.counters.malformed.add();
-            strikes += 1;
-            if strikes <= LOGGED {
+            malformed_messages += 1;
+            if malformed_messages <= MAX_LOGGED_MALFORMED {
                 tracing::info!(what, "message turned down");
             }
-            if strikes >= STRIKES {
+            if malformed_messages >= MAX_MALFORMED_MESSAGES {
                 return Err(Malformed {
                     call: None,
                     what: "too many unusable messages",
@@ -281,69 +299,78 @@
     }
 }
 
-/// Takes a request in and starts the task that sees it to its answer; an unusable one is told why.
+/// Accepts a request and spawns the coroutine that writes its answer. A refused or malformed request is answered at
+/// once; the error says why it is malformed.
 fn dispatch(
     invoker: &Arc<Invoker>,
-    open: &Open,
+    open_requests: &OpenRequests,
     connection: &Arc<Connection>,
     seqid: i32,
     fields: &Fields,
     body: Vec<u8>,
 ) -> Result<(), &'static str> {
-    let answer_now = |reply| write(connection, &thrift::reply("dispatch", seqid, reply));
-    let _kept = connection.keep();
+    let reply_now = |reply| write(connection, &thrift::reply("dispatch", seqid, reply));
+    let _open_guard = connection.keep();
     if connection.is_turned_away() {
         invoker.counters.turned_away.add();
-        answer_now(rejected(CROWDED_MS));
+        reply_now(rejected(OVERLOAD_RETRY_AFTER_MS));
         return Ok(());
     }
-    if lock(open).len() >= OPEN {
-        answer_now(rejected(CROWDED_MS));
+    if lock(open_requests).len() >= MAX_OPEN_REQUESTS {
+        reply_now(rejected(OVERLOAD_RETRY_AFTER_MS));
         return Ok(());
     }
-    let came_at = invoker.came_at().min(connection.came_at());
-    let taken = call(invoker, came_at, fields, body).map(|call| {
+    let arrived_at = invoker.came_at().min(connection.earliest_arrival());
+    let accepted = parse_call(invoker, arrived_at, fields, body).map(|call| {
         let id = call.request.id;
-        let taken = invoker.take(call);
-        if taken.is_ok() {
-            lock(open).insert(seqid, Owed::Here(id));
+        let accepted = invoker.take(call);
+        if accepted.is_ok() {
+            lock(open_requests).insert(seqid, Responder::Local(id));
         }
-        taken
+        accepted
     });
-    match taken {
-        Ok(Err(NotTaken::Draining)) => answer_now(rejected(DRAINING_MS)),
-        Ok(Err(NotTaken::Crowded(span))) => answer_now(rejected(span.max(CROWDED_MS))),
-        Ok(Err(NotTaken::Open)) => answer_now(crashed("the request is open already")),
-        Ok(Ok(taken)) => {
+    match accepted {
+        Ok(Err(NotTaken::Draining)) => reply_now(rejected(DRAINING_RETRY_AFTER_MS)),
+        Ok(Err(NotTaken::Crowded(retry_after_ms))) => {
+            reply_now(rejected(retry_after_ms.max(OVERLOAD_RETRY_AFTER_MS)))
+        }
+        Ok(Err(NotTaken::Open)) => reply_now(crashed("the request is open already")),
+        Ok(Ok(accepted)) => {
             connection.opened();
-            let (invoker, open, connection) = (invoker.clone(), open.clone(), connection.clone());
+            let (invoker, open_requests, connection) =
+                (invoker.clone(), open_requests.clone(), connection.clone());
             spawn(move || {
-                let answer = catch_unwind(AssertUnwindSafe(|| taken.serve()))
+                let answer = catch_unwind(AssertUnwindSafe(|| accepted.serve()))
                     .unwrap_or(Answer::Failed(Failure { may_have_run: true, late: false }));
                 invoker.counters.answered(&answer);
                 let reply = match answer {
-                    Answer::Served { body } => Some(Reply::Answer { body, good: true }),
+                    Answer::Served { body } => Some(Reply::Answer { body, is_success: true }),
                     Answer::Refused { retry_after, .. } => Some(rejected(retry_after)),
                     Answer::Failed(_) => Some(Reply::Crashed(Fields::new())),
                     Answer::Withdrawn => None,
                 };
                 let bytes = reply.map(|reply| thrift::reply("dispatch", seqid, reply)).unwrap_or_default();
-                // What is owed is owed until the answer is written.
-                connection.end(seqid, bytes, || lock(&open).remove(&seqid).is_some(), taken);
+                // `accepted` is released only after the answer is written.
+                connection.finish_request(
+                    seqid,
+                    bytes,
+                    || lock(&open_requests).remove(&seqid).is_some(),
+                    accepted,
+                );
             });
         }
         Err(what) => {
-            answer_now(crashed(what));
+            reply_now(crashed(what));
             return Err(what);
         }
     }
     Ok(())
 }
 
-fn rejected(retry_after: f64) -> Reply {
+fn rejected(retry_after_ms: f64) -> Reply {
     let mut fields = Fields::new();
-    if retry_after > 0.0 {
-        fields.insert("cooldown".to_string(), format!("{}", retry_after.ceil() as u64));
+    if retry_after_ms > 0.0 {
+        fields.insert("cooldown".to_string(), format!("{}", retry_after_ms.ceil() as u64));
     }
     Reply::Rejected(fields)
 }
@@ -353,22 +380,27 @@
 }
 
 fn write(connection: &Connection, bytes: &[u8]) {
-    // A client that can't be written to is seen by the reading side of its connection.
+    // Write errors are ignored: the read loop detects a broken connection.
     let _ = connection.answer(bytes);
 }
 
-/// Makes a call of the fields of a request that came then. All of it is checked here: what a worker could not use, or would
-/// close a shared connection over, goes no further.
-fn call(invoker: &Invoker, came_at: Ms, fields: &Fields, body: Vec<u8>) -> Result<Call, &'static str> {
+/// Builds a call from the fields of a request that arrived at `arrived_at`. All fields are validated here, so that nothing
+/// is forwarded that a worker could not use or that would make it close a shared connection.
+fn parse_call(
+    invoker: &Invoker,
+    arrived_at: Ms,
+    fields: &Fields,
+    body: Vec<u8>,
+) -> Result<Call, &'static str> {
     let field = |name: &str| fields.get(name).map(String::as_str);
-    let hex = |name: &str| {
-        let plain = |text: &&str| text.len() == 16 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
-        field(name).filter(plain).and_then(|text| u64::from_str_radix(text, 16).ok())
+    let hex_id = |name: &str| {
+        let is_hex_id = |text: &&str| text.len() == 16 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
+        field(name).filter(is_hex_id).and_then(|text| u64::from_str_radix(text, 16).ok())
     };
-    let number = |text: &str, least: f64, most: f64| {
-        text.parse::<f64>().ok().filter(|number| (least..=most).contains(number))
+    let parse_number = |text: &str, min: f64, max: f64| {
+        text.parse::<f64>().ok().filter(|number| (min..=max).contains(number))
     };
-    if body.len() > thrift::MAX_BODY {
+    if body.len() > thrift::MAX_BODY_BYTES {
         return Err("body over 16 KiB");
     }
     let class_name = field("service").ok_or("service is missing")?;
@@ -381,33 +413,34 @@
     let key = match invoker.settings.classes[class].effect {
         Effect::Keyed(..) => {
             let key = field("replay")
-                .filter(|key| (1..=MAX_KEY).contains(&key.len()))
+                .filter(|key| (1..=MAX_KEY_BYTES).contains(&key.len()))
                 .ok_or("replay is missing")?;
-            let plain = key.bytes().all(|byte| byte.is_ascii_graphic() && byte != b',' && byte != b'=');
-            Some(plain.then(|| key.to_string()).ok_or("replay can't be passed on")?)
+            let is_printable =
+                key.bytes().all(|byte| byte.is_ascii_graphic() && byte != b',' && byte != b'=');
+            Some(is_printable.then(|| key.to_string()).ok_or("replay can't be passed on")?)
         }
         _ => None,
     };
     let extras: HashMap<&str, &str> =
         field("info").unwrap_or_default().split(';').filter_map(|pair| pair.split_once(':')).collect();
-    let extra = |name: &str, least: f64, odd: &'static str| match extras.get(name) {
-        Some(text) => number(text, least, MOST_FIGURE).map(Some).ok_or(odd),
+    let extra_number = |name: &str, min: f64, out_of_range: &'static str| match extras.get(name) {
+        Some(text) => parse_number(text, min, MAX_FIELD_VALUE).map(Some).ok_or(out_of_range),
         None => Ok(None),
     };
-    let allow = number(field("allow").ok_or("allow is missing")?, 1.0, 2.0 * invoker.give_up[class]);
+    let allow = parse_number(field("allow").ok_or("allow is missing")?, 1.0, 2.0 * invoker.give_up[class]);
     let request = Request {
-        id: RequestId(hex("ref").ok_or("ref is no 16 hex digits")?),
+        id: RequestId(hex_id("ref").ok_or("ref is no 16 hex digits")?),
         class,
         tenant,
-        model: ModelId(hex("lookup").ok_or("lookup is no 16 hex digits")?),
-        memory: extra("memory_mb", 0.0, "memory_mb is out of range")?.unwrap_or(0.0),
-        lanes: extra("lanes", 1.0, "lanes is out of range")?.unwrap_or(1.0),
-        load_hint: extra("load_ms", 0.0, "load_ms is out of range")?,
+        model: ModelId(hex_id("lookup").ok_or("lookup is no 16 hex digits")?),
+        memory: extra_number("memory_mb", 0.0, "memory_mb is out of range")?.unwrap_or(0.0),
+        lanes: extra_number("lanes", 1.0, "lanes is out of range")?.unwrap_or(1.0),
+        load_hint: extra_number("load_ms", 0.0, "load_ms is out of range")?,
         cost_hint: match field("effort") {
-            Some(text) => Some(number(text, 0.0, MOST_FIGURE).ok_or("effort is out of range")?),
+            Some(text) => Some(parse_number(text, 0.0, MAX_FIELD_VALUE).ok_or("effort is out of range")?),
             None => None,
         },
-        expires: came_at + allow.ok_or("allow is out of range")?,
+        expires: arrived_at + allow.ok_or("allow is out of range")?,
     };
     Ok(Call { request, class_name: class_name.to_string(), function: String::new(), key, body })
 }
--- a/crates/node/src/wire/passage.rs
+++ b/crates/node/src/wire/passage.rs
@@ -1,12 +1,12 @@
-//! Connections of clients that pass from a process to its successor under load, through a Unix socket in the folder that
-//! both share.
+//! Hands client connections over from a process to its successor under load, through a Unix socket in a directory that both
+//! share.
 //!
-//! The process that leaves sends the descriptor of a connection with what it still owes there, and then the answers; the
-//! successor reads on and alone writes. Both ends are met on a thread each: descriptors come beside bytes, which
-//! coroutines can't wait for.
+//! The process that is replaced sends the descriptor of a connection with the sequence numbers of its unanswered requests,
+//! and later their answers. From then on only the successor reads from and writes to the client. Each side uses a thread:
+//! descriptors are ancillary data (`SCM_RIGHTS`), which coroutines can't wait for.
 use crate::core::lock;
 use corkbay_duty::{Head, Message, HEAD};
-use may::sync::{mpsc as answers, Mutex};
+use may::sync::{mpsc as coroutine_mpsc, Mutex};
 use rustix::net::{
     recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
     SendAncillaryMessage, SendFlags,
@@ -24,112 +24,121 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Longest time for which a successor may take nothing.
-const STALL: Duration = Duration::from_millis(500);
-/// Stack of a thread, in bytes of address space.
-const STACK: usize = 256 << 10;
+/// A write fails if the successor accepts no bytes for this long.
+const WRITE_STALL: Duration = Duration::from_millis(500);
+/// Stack size of a thread, in bytes of address space.
+const STACK_BYTES: usize = 256 << 10;
 
-/// A connection that was taken over, as the process that passed it on sees it.
-pub trait Arrival {
-    /// The end of what that process owes under that number; no bytes where nobody waits any more.
-    fn end(&self, seqid: i32, bytes: Vec<u8>);
-    /// That process has ended.
-    fn abandon(&self);
+/// Receives the answers that the previous process sends for a connection that was taken over from it.
+pub trait ReceivedConnection {
+    /// Ends a request that the previous process handled, with its encoded answer. `bytes` is empty if the client no longer
+    /// waits.
+    fn finish_request(&self, seqid: i32, bytes: Vec<u8>);
+    /// Fails the requests that are still unanswered, because the previous process has ended.
+    fn fail_unanswered(&self);
 }
 
-enum Order {
-    Connection { stream: OwnedFd, number: u64, owed: Vec<i32>, sent: answers::Sender<()> },
+/// A command to the sending thread.
+enum Command {
+    Connection { stream: OwnedFd, number: u64, unanswered: Vec<i32>, sent: coroutine_mpsc::Sender<()> },
     End { message: Message, held: Box<dyn Send> },
 }
 
-/// The way to the successor; shut until there is one that listens.
+/// The channel to the successor; closed until [`Passage::open`] succeeds.
 #[derive(Default)]
 pub struct Passage {
-    line: Mutex<Option<(Sender<Order>, JoinHandle<()>)>>,
-    next: AtomicU64,
-    /// Held while a connection passes: until it has gone it takes a second descriptor here.
-    turn: Mutex<()>,
+    sender: Mutex<Option<(Sender<Command>, JoinHandle<()>)>>,
+    next_number: AtomicU64,
+    /// Locked while a connection is sent, since a second descriptor of it is open until then. At most one such duplicate
+    /// exists at a time.
+    sending: Mutex<()>,
 }
 
-/// The way of the answers on a connection that was passed on.
-pub struct Passed {
+/// Forwards answers for a connection that was handed over.
+pub struct AnswerForwarder {
     number: u64,
-    orders: Sender<Order>,
+    commands: Sender<Command>,
 }
 
 impl Passage {
-    /// Opens the way to the process of that seat.
-    pub fn open(&self, folder: &Path, seat: usize) -> io::Result<()> {
-        let folder = File::open(folder)?;
-        let stream = UnixStream::connect(meeting(&folder, seat))?;
-        stream.set_write_timeout(Some(STALL))?;
-        let (orders, queue) = channel();
-        let thread = std::thread::Builder::new().name("passage".into()).stack_size(STACK);
+    /// Connects to the process with that slot number.
+    pub fn open(&self, directory: &Path, slot: usize) -> io::Result<()> {
+        let directory = File::open(directory)?;
+        let stream = UnixStream::connect(socket_path(&directory, slot))?;
+        stream.set_write_timeout(Some(WRITE_STALL))?;
+        let (commands, queue) = channel();
+        let thread = std::thread::Builder::new().name("passage".into()).stack_size(STACK_BYTES);
         let thread = thread.spawn(move || {
             if let Err(error) = send_all(&stream, &queue) {
                 tracing::error!(%error, "passage: connections can't be passed on");
             }
         })?;
-        *lock(&self.line) = Some((orders, thread));
+        *lock(&self.sender) = Some((commands, thread));
         Ok(())
     }
 
-    /// Whether connections can be passed on.
+    /// Whether connections can be handed over.
     pub fn is_open(&self) -> bool {
-        lock(&self.line).as_ref().is_some_and(|(_, thread)| !thread.is_finished())
+        lock(&self.sender).as_ref().is_some_and(|(_, thread)| !thread.is_finished())
     }
 
-    /// Passes a connection on, by another descriptor of it; none where that failed and it is still this process's alone.
-    /// One passes at a time.
-    pub fn pass(&self, duplicate: impl FnOnce() -> io::Result<OwnedFd>, owed: Vec<i32>) -> Option<Passed> {
-        let orders = lock(&self.line).as_ref().map(|(orders, _)| orders.clone())?;
-        let _turn = lock(&self.turn);
+    /// Hands a connection over by a duplicate of its descriptor. Returns `None` if that failed; this process still owns the
+    /// connection then. Connections are sent one at a time.
+    pub fn pass(
+        &self,
+        duplicate: impl FnOnce() -> io::Result<OwnedFd>,
+        unanswered: Vec<i32>,
+    ) -> Option<AnswerForwarder> {
+        let commands = lock(&self.sender).as_ref().map(|(commands, _)| commands.clone())?;
+        let _sending = lock(&self.sending);
         let stream = duplicate().ok()?;
-        let (number, (sent, done)) = (self.next.fetch_add(1, Ordering::Relaxed), answers::channel());
-        orders.send(Order::Connection { stream, number, owed, sent }).ok()?;
-        done.recv().ok().map(|()| Passed { number, orders })
+        let (number, (sent, is_sent)) =
+            (self.next_number.fetch_add(1, Ordering::Relaxed), coroutine_mpsc::channel());
+        commands.send(Command::Connection { stream, number, unanswered, sent }).ok()?;
+        is_sent.recv().ok().map(|()| AnswerForwarder { number, commands })
     }
 
-    /// Waits until all that was handed in has gone.
+    /// Closes the channel and waits until all queued commands are sent.
     pub fn finish(&self) {
-        let line = lock(&self.line).take();
-        if let Some((orders, thread)) = line {
-            drop(orders);
-            // What panicked there was told already.
+        let sender = lock(&self.sender).take();
+        if let Some((commands, thread)) = sender {
+            drop(commands);
+            // A panic of the thread was reported already.
             let _ = thread.join();
         }
     }
 }
 
-impl Passed {
-    /// Hands in the end of what is owed; what is held for it is given back once it has gone.
-    pub fn end(&self, seqid: i32, bytes: Vec<u8>, held: Box<dyn Send>) {
+impl AnswerForwarder {
+    /// Queues the answer to a request; `held` is dropped once it is sent.
+    pub fn forward(&self, seqid: i32, bytes: Vec<u8>, held: Box<dyn Send>) {
         let message = Message::End { number: self.number, seqid, bytes };
-        // Where the successor has ended, so has the connection.
-        let _ = self.orders.send(Order::End { message, held });
+        // Sending fails only if the successor has ended, and the connection with it.
+        let _ = self.commands.send(Command::End { message, held });
     }
 }
 
-/// The socket of a seat, by a path that is short however long the folder's is.
-fn meeting(folder: &File, seat: usize) -> PathBuf {
-    format!("/proc/self/fd/{}/passage-{seat}", folder.as_raw_fd()).into()
+/// Path of the socket of a slot. It goes through `/proc/self/fd` because socket paths are limited in length and that of the
+/// directory may be long.
+fn socket_path(directory: &File, slot: usize) -> PathBuf {
+    format!("/proc/self/fd/{}/passage-{slot}", directory.as_raw_fd()).into()
 }
 
-fn send_all(mut stream: &UnixStream, queue: &Receiver<Order>) -> io::Result<()> {
-    for order in queue {
-        match order {
-            Order::Connection { stream: passed, number, owed, sent } => {
-                let bytes = Message::Connection { number, owed }.encode();
+fn send_all(mut stream: &UnixStream, queue: &Receiver<Command>) -> io::Result<()> {
+    for command in queue {
+        match command {
+            Command::Connection { stream: descriptor, number, unanswered, sent } => {
+                let bytes = Message::Connection { number, owed: unanswered }.encode();
                 let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
-                let mut beside = SendAncillaryBuffer::new(&mut space);
-                let passed = [passed.as_fd()];
-                beside.push(SendAncillaryMessage::ScmRights(&passed));
-                let size = sendmsg(stream, &[IoSlice::new(&bytes)], &mut beside, SendFlags::NOSIGNAL)?;
-                // From its first byte on the connection is the other's.
+                let mut ancillary = SendAncillaryBuffer::new(&mut space);
+                let descriptors = [descriptor.as_fd()];
+                ancillary.push(SendAncillaryMessage::ScmRights(&descriptors));
+                let size = sendmsg(stream, &[IoSlice::new(&bytes)], &mut ancillary, SendFlags::NOSIGNAL)?;
+                // The successor owns the connection from the first byte sent.
                 let _ = sent.send(());
                 stream.write_all(&bytes[size..])?;
             }
-            Order::End { message, held } => {
+            Command::End { message, held } => {
                 stream.write_all(&message.encode())?;
                 drop(held);
             }
@@ -138,41 +147,41 @@
     Ok(())
 }
 
-/// Listens, as the process of that seat, for connections that the one before passes on.
-pub fn listen<A: Arrival>(
-    folder: &Path,
-    seat: usize,
-    arrive: impl Fn(TcpStream, &[i32]) -> io::Result<A> + Send + 'static,
+/// Listens, as the process with that slot number, for connections that its predecessor hands over.
+pub fn listen<A: ReceivedConnection>(
+    directory: &Path,
+    slot: usize,
+    take_over: impl Fn(TcpStream, &[i32]) -> io::Result<A> + Send + 'static,
 ) -> io::Result<()> {
-    let folder = File::open(folder)?;
-    let path = meeting(&folder, seat);
+    let directory = File::open(directory)?;
+    let path = socket_path(&directory, slot);
     match std::fs::remove_file(&path) {
         Err(error) if error.kind() != ErrorKind::NotFound => return Err(error),
         _ => {}
     }
     let listener = UnixListener::bind(&path)?;
-    let thread = std::thread::Builder::new().name("arrivals".into()).stack_size(STACK);
+    let thread = std::thread::Builder::new().name("arrivals".into()).stack_size(STACK_BYTES);
     thread.spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
-            let mut arrivals = HashMap::new();
-            if let Err(error) = receive_all(&stream, &mut arrivals, &arrive) {
+            let mut connections = HashMap::new();
+            if let Err(error) = receive_all(&stream, &mut connections, &take_over) {
                 tracing::error!(%error, "passage: connections can't be taken over");
             }
-            arrivals.values().for_each(Arrival::abandon);
+            connections.values().for_each(ReceivedConnection::fail_unanswered);
         }
     })?;
     Ok(())
 }
 
-/// Takes over what comes until the other side ends.
-fn receive_all<A: Arrival>(
+/// Takes over connections and forwards answers until the other side closes the socket.
+fn receive_all<A: ReceivedConnection>(
     mut stream: &UnixStream,
-    arrivals: &mut HashMap<u64, A>,
-    arrive: impl Fn(TcpStream, &[i32]) -> io::Result<A>,
+    connections: &mut HashMap<u64, A>,
+    take_over: impl Fn(TcpStream, &[i32]) -> io::Result<A>,
 ) -> io::Result<()> {
     let mut head = [0; HEAD];
     loop {
-        let (size, passed) = receive(stream, &mut head)?;
+        let (size, descriptor) = receive(stream, &mut head)?;
         if size == 0 {
             return Ok(());
         }
@@ -180,34 +189,36 @@
         let head = Head::decode(&head).map_err(io::Error::other)?;
         let mut body = vec![0; head.length()];
         stream.read_exact(&mut body)?;
-        match (head.message(body), passed) {
-            (Message::Connection { number, owed }, Some(passed)) => {
-                _ = arrivals.insert(number, arrive(passed.into(), &owed)?);
+        match (head.message(body), descriptor) {
+            (Message::Connection { number, owed: unanswered }, Some(descriptor)) => {
+                _ = connections.insert(number, take_over(descriptor.into(), &unanswered)?);
+            }
+            (Message::Connection { .. }, None) => {
+                return Err(io::Error::other("connection message without a descriptor"))
             }
-            (Message::Connection { .. }, None) => return Err(io::Error::other("no descriptor came")),
             (Message::End { number, seqid, bytes }, _) => {
-                if let Some(arrival) = arrivals.get(&number) {
-                    arrival.end(seqid, bytes);
+                if let Some(connection) = connections.get(&number) {
+                    connection.finish_request(seqid, bytes);
                 }
             }
         }
     }
 }
 
-/// Reads the beginning of a message with the descriptor beside it, if there is one.
+/// Reads the beginning of a message and the descriptor that was sent with it, if there is one.
 fn receive(stream: &UnixStream, bytes: &mut [u8]) -> io::Result<(usize, Option<OwnedFd>)> {
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
-    let mut beside = RecvAncillaryBuffer::new(&mut space);
-    let got = loop {
+    let mut ancillary = RecvAncillaryBuffer::new(&mut space);
+    let received = loop {
         let slices = &mut [IoSliceMut::new(bytes)];
-        match recvmsg(stream, slices, &mut beside, RecvFlags::CMSG_CLOEXEC) {
+        match recvmsg(stream, slices, &mut ancillary, RecvFlags::CMSG_CLOEXEC) {
             Err(rustix::io::Errno::INTR) => {}
-            got => break got?,
+            received => break received?,
         }
     };
-    let passed = beside.drain().find_map(|message| match message {
-        RecvAncillaryMessage::ScmRights(mut passed) => passed.next(),
+    let descriptor = ancillary.drain().find_map(|message| match message {
+        RecvAncillaryMessage::ScmRights(mut descriptors) => descriptors.next(),
         _ => None,
     });
-    Ok((got.bytes, passed))
+    Ok((received.bytes, descriptor))
 }
--- a/crates/node/src/wire/thrift.rs
+++ b/crates/node/src/wire/thrift.rs
@@ -1,14 +1,14 @@
-//! Thrift's strict binary protocol in framed transport, as far as the platform's front speaks it.
+//! The subset of Thrift's strict binary protocol over framed transport that the Thrift front uses.
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Largest frame that is read, which is buffered whole; a larger one ends its connection.
-pub const MAX_FRAME: usize = 64 << 10;
-/// Largest body of a request.
-pub const MAX_BODY: usize = 16 << 10;
-const MAX_FIELDS: usize = 64;
-const MAX_TEXT: usize = 4096;
-const MAX_DEPTH: u32 = 8;
+/// Maximum size of a frame in bytes. Frames are buffered whole; a larger one closes the connection.
+pub const MAX_FRAME_BYTES: usize = 64 << 10;
+/// Maximum size of a request body in bytes.
+pub const MAX_BODY_BYTES: usize = 16 << 10;
+const MAX_MAP_ENTRIES: usize = 64;
+const MAX_STRING_BYTES: usize = 4096;
+const MAX_NESTING: u32 = 8;
 const VERSION: u32 = 0x8001_0000;
 
 const CALL: u8 = 1;
@@ -23,13 +23,13 @@
 const STRUCT: u8 = 12;
 const MAP: u8 = 13;
 
-/// The fields of a request or an answer.
+/// The string map of a request or an answer.
 pub type Fields = BTreeMap<String, String>;
 
-/// A message of a client.
+/// A message from a client.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Message {
-    /// A request.
+    /// A request for a call of a model.
     Dispatch {
         /// Its sequence number.
         seqid: i32,
@@ -38,9 +38,9 @@
         /// Its body.
         body: Vec<u8>,
     },
-    /// Nobody waits for that request any more.
+    /// Cancels a request; the client no longer waits for its answer.
     Cancel {
-        /// The request's sequence number.
+        /// Sequence number of the request to cancel.
         seqid: i32,
     },
     /// Asks whether this invoker is ready.
@@ -50,14 +50,14 @@
     },
 }
 
-/// Why a message can't be read, with the sequence number as far as it is known.
+/// Why a message can't be parsed, with its sequence number and method where they are known.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Malformed {
-    /// The sequence number and method of a call that waits for an answer.
+    /// Sequence number and method, if the message is a call that expects a reply.
     pub call: Option<(i32, String)>,
-    /// What is wrong.
+    /// The parse error.
     pub what: &'static str,
-    /// The method is not one of ours.
+    /// Whether the error is an unknown method.
     pub unknown_method: bool,
 }
 
@@ -69,28 +69,28 @@
 
 impl std::error::Error for Malformed {}
 
-/// What a client is answered.
+/// A reply to a `dispatch` or `alive` call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    /// `Answer`.
+    /// The result struct `Answer`.
     Answer {
         /// Its body.
         body: Vec<u8>,
-        /// Whether it is good.
-        good: bool,
+        /// The call succeeded or, for `alive`, this invoker is ready.
+        is_success: bool,
     },
-    /// `Rejected`, with the time to stay away.
+    /// The exception `Rejected`, with the retry delay in milliseconds under `cooldown`.
     Rejected(Fields),
-    /// `Crashed`.
+    /// The exception `Crashed`.
     Crashed(Fields),
 }
 
-type Read<T> = Result<T, &'static str>;
+type ReadResult<T> = Result<T, &'static str>;
 
 struct Reader<'a>(&'a [u8]);
 
 impl<'a> Reader<'a> {
-    fn take(&mut self, size: usize) -> Read<&'a [u8]> {
+    fn take(&mut self, size: usize) -> ReadResult<&'a [u8]> {
         if size > self.0.len() {
             return Err("cut short");
         }
@@ -99,32 +99,32 @@
         Ok(head)
     }
 
-    fn u8(&mut self) -> Read<u8> {
+    fn u8(&mut self) -> ReadResult<u8> {
         Ok(self.take(1)?[0])
     }
 
-    fn i32(&mut self) -> Read<i32> {
+    fn i32(&mut self) -> ReadResult<i32> {
         let bytes = self.take(4)?;
         Ok(i32::from_be_bytes([bytes[0], bytes[1], bytes[2], bytes[3]]))
     }
 
-    fn bytes(&mut self) -> Read<&'a [u8]> {
+    fn bytes(&mut self) -> ReadResult<&'a [u8]> {
         let size = usize::try_from(self.i32()?).map_err(|_| "negative length")?;
         self.take(size)
     }
 
-    fn text(&mut self) -> Read<String> {
+    fn text(&mut self) -> ReadResult<String> {
         let bytes = self.bytes()?;
-        if bytes.len() > MAX_TEXT {
+        if bytes.len() > MAX_STRING_BYTES {
             return Err("text too long");
         }
         std::str::from_utf8(bytes).map(str::to_string).map_err(|_| "text is no UTF-8")
     }
 
-    fn map(&mut self) -> Read<Fields> {
+    fn map(&mut self) -> ReadResult<Fields> {
         let kinds = (self.u8()?, self.u8()?);
         let size = usize::try_from(self.i32()?).map_err(|_| "negative size")?;
-        if size > MAX_FIELDS {
+        if size > MAX_MAP_ENTRIES {
             return Err("too many fields");
         }
         if size > 0 && kinds != (STRING, STRING) {
@@ -133,8 +133,8 @@
         (0..size).map(|_| Ok((self.text()?, self.text()?))).collect()
     }
 
-    /// The fields of a struct, each handed to `each`, which reads it or says that it is not its own.
-    fn fields(&mut self, mut each: impl FnMut(&mut Self, u8, i16) -> Read<bool>) -> Read<()> {
+    /// Reads the fields of a struct. `each` reads a field with the given type and id, or returns false to have it skipped.
+    fn fields(&mut self, mut each: impl FnMut(&mut Self, u8, i16) -> ReadResult<bool>) -> ReadResult<()> {
         loop {
             let kind = self.u8()?;
             if kind == STOP {
@@ -147,10 +147,11 @@
         }
     }
 
-    fn skip(&mut self, kind: u8, depth: u32) -> Read<()> {
-        if depth > MAX_DEPTH {
+    fn skip(&mut self, kind: u8, depth: u32) -> ReadResult<()> {
+        if depth > MAX_NESTING {
             return Err("nested too deep");
         }
+        // Types without a constant: 3 byte, 4 double, 6 i16, 10 i64, 14 set, 15 list.
         match kind {
             BOOL | 3 => self.take(1).map(|_| ()),
             6 => self.take(2).map(|_| ()),
@@ -185,11 +186,11 @@
     }
 }
 
-/// Takes one frame's content off the front of `buffer`; `None` while it is not whole.
+/// Removes one frame from the start of `buffer` and returns its content; `None` while the frame is incomplete.
 pub fn unframe(buffer: &mut Vec<u8>) -> Result<Option<Vec<u8>>, Malformed> {
     let Some(head) = buffer.first_chunk::<4>() else { return Ok(None) };
     let size = u32::from_be_bytes(*head) as usize;
-    if size > MAX_FRAME {
+    if size > MAX_FRAME_BYTES {
         return Err(Malformed { call: None, what: "frame too long", unknown_method: false });
     }
     if buffer.len() < 4 + size {
@@ -200,10 +201,10 @@
     Ok(Some(message))
 }
 
-/// Reads a client's message.
-pub fn read(message: &[u8]) -> Result<Message, Malformed> {
+/// Parses a message from a client.
+pub fn parse_message(message: &[u8]) -> Result<Message, Malformed> {
     let mut reader = Reader(message);
-    let mut head = || -> Read<(u8, String, i32)> {
+    let mut head = || -> ReadResult<(u8, String, i32)> {
         let version = reader.i32()? as u32;
         if version & 0xffff_0000 != VERSION {
             return Err("not the strict binary protocol");
@@ -225,14 +226,16 @@
         }
         Ok(true)
     });
-    let bad = |what| Malformed { call: call.clone(), what, unknown_method: false };
-    arguments.map_err(bad)?;
+    let malformed = |what| Malformed { call: call.clone(), what, unknown_method: false };
+    arguments.map_err(malformed)?;
     match name.as_str() {
         "dispatch" if kind == CALL => {
-            let fields = fields.ok_or_else(|| bad("no fields"))?;
+            let fields = fields.ok_or_else(|| malformed("no fields"))?;
             Ok(Message::Dispatch { seqid, fields, body: body.unwrap_or_default() })
         }
-        "cancelRequest" => Ok(Message::Cancel { seqid: number.ok_or_else(|| bad("no sequence number"))? }),
+        "cancelRequest" => {
+            Ok(Message::Cancel { seqid: number.ok_or_else(|| malformed("no sequence number"))? })
+        }
         "alive" if kind == CALL => Ok(Message::Alive { seqid }),
         _ => Err(Malformed { call: call.clone(), what: "unknown method", unknown_method: true }),
     }
@@ -275,23 +278,23 @@
     }
 }
 
-/// Room for what stands round an answer's body.
-const ANSWER_ROOM: usize = 64;
+/// Upper bound for the encoded size of an answer without its body.
+const REPLY_OVERHEAD_BYTES: usize = 64;
 
-/// The framed reply to a call of `method`, whose body is given back before it is written.
+/// Encodes the framed reply to a call of `method`. The body is freed on return, before the frame is written to the client.
 pub fn reply(method: &str, seqid: i32, reply: Reply) -> Vec<u8> {
     let mut writer = Writer::message(REPLY, method, seqid);
     match &reply {
-        Reply::Answer { body, good } => {
-            // A long answer must not double what it takes while it is copied.
-            writer.0.reserve_exact(body.len() + ANSWER_ROOM);
+        Reply::Answer { body, is_success } => {
+            // Growth by doubling could allocate twice the size of a long answer.
+            writer.0.reserve_exact(body.len() + REPLY_OVERHEAD_BYTES);
             writer.field(STRUCT, 0);
             writer.field(STRING, 1);
             writer.bytes(body);
             writer.field(MAP, 2);
             writer.map(&Fields::new());
             writer.field(BOOL, 3);
-            writer.0.push(u8::from(*good));
+            writer.0.push(u8::from(*is_success));
         }
         Reply::Rejected(fields) | Reply::Crashed(fields) => {
             writer.field(STRUCT, if matches!(&reply, Reply::Rejected(_)) { 1 } else { 2 });
@@ -303,13 +306,13 @@
     writer.frame()
 }
 
-/// The framed application exception that answers a call which can't be read.
+/// Encodes the framed application exception that answers a malformed call.
 pub fn exception(method: &str, seqid: i32, unknown_method: bool, what: &str) -> Vec<u8> {
     let mut writer = Writer::message(EXCEPTION, method, seqid);
     writer.field(STRING, 1);
     writer.bytes(what.as_bytes());
     writer.field(I32, 2);
-    // 1: unknown method, 7: protocol error.
+    // `TApplicationException` types: 1 is unknown method, 7 is protocol error.
     writer.0.extend(if unknown_method { 1i32 } else { 7 }.to_be_bytes());
     writer.0.push(STOP);
     writer.frame()
--- a/crates/node/src/wire/thrift/tests.rs
+++ b/crates/node/src/wire/thrift/tests.rs
@@ -18,26 +18,26 @@
         let fields = Fields::from([(name, value)]);
         let mut buffer = dispatch(seqid, &fields, &body);
         let message = unframe(&mut buffer).expect("framed").expect("whole");
-        prop_assert_eq!(read(&message), Ok(Message::Dispatch { seqid, fields, body }));
+        prop_assert_eq!(parse_message(&message), Ok(Message::Dispatch { seqid, fields, body }));
     }
 
-    /// Guards against a client's bytes taking the process down.
+    /// Arbitrary bytes from a client must be parsed or rejected without a panic.
     #[test]
-    fn any_bytes_are_read_or_turned_down(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
-        let _ = read(&bytes);
+    fn any_bytes_are_read_or_rejected(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
+        let _ = parse_message(&bytes);
         let mut head = Writer::message(CALL, "dispatch", 7).frame().split_off(4);
         head.extend(bytes);
-        if let Err(malformed) = read(&head) {
+        if let Err(malformed) = parse_message(&head) {
             prop_assert_eq!(malformed.call, Some((7, "dispatch".to_string())));
         }
     }
 }
 
 #[test]
-fn lengths_beyond_the_message_are_turned_down() {
+fn lengths_beyond_the_message_are_rejected() {
     let mut message = Writer::message(CALL, "dispatch", 3);
     message.field(STRING, 2);
     message.0.extend(i32::MAX.to_be_bytes());
-    assert_eq!(read(&message.frame()[4..]).expect_err("cut").what, "cut short");
+    assert_eq!(parse_message(&message.frame()[4..]).expect_err("cut").what, "cut short");
     assert!(unframe(&mut vec![0xff; 8]).is_err());
 }
