--- a/crates/node/src/wire/channel.rs
+++ b/crates/node/src/wire/channel.rs
@@ -1,4 +1,4 @@
-//! The command channel: news of the workers as numbered events.
+//! The command channel: a stream of numbered events (server-sent events) about the workers.
 use super::socket::Socket;
 use super::sse::Stream;
 use crate::core::{lock, monotonic_ms, Invoker, UnixTime};
@@ -16,15 +16,16 @@
 use std::sync::{Arc, Weak};
 use std::time::Duration;
 
-/// A comment comes each second: a channel silent for longer is dead, and news may be waiting.
-const SILENCE: Duration = Duration::from_millis(1300);
-const CONNECT: Duration = Duration::from_millis(300);
-const CHUNK: usize = 4096;
+/// The server sends a comment each second. A connection that is silent for longer is considered dead and is replaced, since
+/// events may be waiting.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(1300);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+const CHUNK_BYTES: usize = 4096;
 
-/// One event of the channel.
+/// An event of the channel.
 #[derive(Clone, Debug, Deserialize)]
 pub struct News {
-    /// Its number.
+    /// The event's number, used if the server-sent event has no numeric id.
     #[serde(default)]
     pub cursor: u64,
     nodes: Option<Nodes>,
@@ -34,7 +35,7 @@
 struct Nodes {
     #[serde(default)]
     snapshot: bool,
-    /// Read one by one, so that an odd entry does not hide the others' news.
+    /// Parsed one by one, so that an invalid entry does not affect the others.
     #[serde(default)]
     endpoints: Vec<Value>,
 }
@@ -62,7 +63,7 @@
     Up,
     Draining,
     Removed,
-    /// No state that is known: nothing new goes there.
+    /// An unknown status; the worker gets no new calls.
     #[serde(other)]
     Other,
 }
@@ -76,7 +77,7 @@
 }
 
 impl Endpoint {
-    /// What it says, on a channel that was last heard without it at that time.
+    /// Converts the entry. `heard_without` is when the channel was last received without this event, in milliseconds.
     fn listing(self, heard_without: Ms) -> Listing {
         let endpoint = self;
         Listing {
@@ -98,16 +99,16 @@
 }
 
 impl News {
-    /// Passes on an event that was known at the start.
+    /// Reports an event that was known at the start to the invoker.
     pub fn remember(self, invoker: &Arc<Invoker>) {
-        self.tell(invoker, Ms::NEG_INFINITY, true);
+        self.report(invoker, Ms::NEG_INFINITY, true);
     }
 
-    /// Passes the event on, told on a channel that was last heard without it at that time; `remembered` where it was
-    /// known at the start.
-    fn tell(self, invoker: &Arc<Invoker>, heard_without: Ms, remembered: bool) {
+    /// Reports the event to the invoker. `heard_without` is when the channel was last received without it, in milliseconds;
+    /// `remembered` is set for events that were known at the start.
+    fn report(self, invoker: &Arc<Invoker>, heard_without: Ms, remembered: bool) {
         if let Some(nodes) = self.nodes {
-            let read = |entry: Value| match Endpoint::deserialize(&entry) {
+            let parse_entry = |entry: Value| match Endpoint::deserialize(&entry) {
                 Ok(endpoint) => Some(endpoint.listing(heard_without)),
                 Err(error) => {
                     invoker.counters.channel_odd.add();
@@ -115,111 +116,111 @@
                     None
                 }
             };
-            let listings = nodes.endpoints.into_iter().filter_map(read).collect();
+            let listings = nodes.endpoints.into_iter().filter_map(parse_entry).collect();
             invoker.news(listings, nodes.snapshot, remembered);
         }
     }
 }
 
-/// Where the channel is read, which a reload may change, and the connection that is read now.
+/// The address of the channel, which a configuration reload may change, and the current connection to it.
 pub struct Line {
-    reading: Mutex<Reading>,
-    heard: AtomicBool,
+    connection: Mutex<Connection>,
+    received: AtomicBool,
 }
 
-struct Reading {
+struct Connection {
     address: SocketAddr,
     socket: Weak<Socket>,
 }
 
 impl Line {
-    /// A channel at an address.
+    /// Creates a channel with the given address.
     pub fn new(address: SocketAddr) -> Arc<Self> {
-        let reading = Mutex::new(Reading { address, socket: Weak::new() });
-        Arc::new(Line { reading, heard: AtomicBool::new(false) })
+        let connection = Mutex::new(Connection { address, socket: Weak::new() });
+        Arc::new(Line { connection, received: AtomicBool::new(false) })
     }
 
-    /// Goes on at another address: what is read now ends at once, and the cursor is kept.
+    /// Switches to another address: the current connection is closed at once and the cursor is kept.
     pub fn move_to(&self, address: SocketAddr) {
-        let mut reading = lock(&self.reading);
-        if reading.address != address {
-            reading.address = address;
-            reading.socket.upgrade().into_iter().for_each(|socket| socket.shut(Shutdown::Both));
+        let mut connection = lock(&self.connection);
+        if connection.address != address {
+            connection.address = address;
+            connection.socket.upgrade().into_iter().for_each(|socket| socket.shut(Shutdown::Both));
         }
     }
 
-    /// Whether the channel has answered since the start.
+    /// Whether anything was received from the channel since the start.
     pub fn is_heard(&self) -> bool {
-        self.heard.load(Ordering::Acquire)
+        self.received.load(Ordering::Acquire)
     }
 
     fn address(&self) -> SocketAddr {
-        lock(&self.reading).address
+        lock(&self.connection).address
     }
 
-    /// Notes a connection that is to be read; false if the channel has moved meanwhile.
-    fn reads(&self, address: SocketAddr, socket: &Arc<Socket>) -> bool {
-        let mut reading = lock(&self.reading);
-        reading.socket = Arc::downgrade(socket);
-        reading.address == address
+    /// Sets the current connection; false if the address has changed meanwhile.
+    fn set_connection(&self, address: SocketAddr, socket: &Arc<Socket>) -> bool {
+        let mut connection = lock(&self.connection);
+        connection.socket = Arc::downgrade(socket);
+        connection.address == address
     }
 }
 
-/// Reads the channel for as long as the process lives: each time it ends it is called again, at once where it brought
-/// news.
+/// Reads the channel for as long as the process lives. It reconnects whenever the connection ends: at once if that brought
+/// events or the address changed, otherwise after a backoff delay.
 pub fn follow(invoker: &Arc<Invoker>, line: &Line, mut cursor: u64) {
-    let (mut redial, mut contact) = (Redial::default(), Contact::default());
+    let (mut backoff, mut contact) = (Redial::default(), Contact::default());
     loop {
-        let (before, address) = (cursor, line.address());
+        let (cursor_before, address) = (cursor, line.address());
         invoker.counters.channel_calls.add();
-        if let Err(error) = listen(invoker, line, address, &mut cursor, &mut contact) {
+        if let Err(error) = read_events(invoker, line, address, &mut cursor, &mut contact) {
             tracing::warn!(%error, "command channel");
         }
-        if cursor == before && line.address() == address {
-            let pause = redial.pause(rand::random());
+        if cursor == cursor_before && line.address() == address {
+            let pause = backoff.pause(rand::random());
             timers::sleep(Duration::from_secs_f64(pause / 1000.0));
         } else {
-            redial.heard();
+            backoff.heard();
         }
     }
 }
 
-fn listen(
+fn read_events(
     invoker: &Arc<Invoker>,
     line: &Line,
     address: SocketAddr,
     cursor: &mut u64,
     contact: &mut Contact,
 ) -> io::Result<()> {
-    let socket = Arc::new(Socket::connect(&address, CONNECT, SILENCE)?);
-    if !line.reads(address, &socket) {
+    let socket = Arc::new(Socket::connect(&address, CONNECT_TIMEOUT, SILENCE_TIMEOUT)?);
+    if !line.set_connection(address, &socket) {
         return Ok(());
     }
-    let call = format!(
+    let request = format!(
         "GET /cmd/next HTTP/1.1\r\nHost: {address}\r\nAccept: text/event-stream\r\nLast-Event-ID: {cursor}\r\n\r\n"
     );
-    socket.write(call.as_bytes())?;
-    let (mut stream, mut chunk) = (Stream::default(), vec![0; CHUNK]);
+    socket.write(request.as_bytes())?;
+    let (mut stream, mut chunk) = (Stream::default(), vec![0; CHUNK_BYTES]);
     while !stream.ended() {
-        let size = socket.read(&mut chunk, SILENCE)?;
+        let size = socket.read(&mut chunk, SILENCE_TIMEOUT)?;
         if size == 0 {
             break;
         }
         let events = stream.feed(&chunk[..size]).map_err(io::Error::other)?;
-        line.heard.store(true, Ordering::Release);
+        line.received.store(true, Ordering::Release);
         contact.heard(monotonic_ms());
         for event in events {
             let news: Result<News, _> = serde_json::from_str(&event.data);
             let number = event.id.and_then(|id| id.parse().ok());
             let number = number.or(news.as_ref().ok().map(|news| news.cursor)).unwrap_or(0);
-            // What was read before the connection ended may come once more.
+            // Events received before a reconnect may be sent again.
             if number <= *cursor {
                 continue;
             }
             *cursor = number;
             match news {
-                Ok(news) => news.tell(invoker, contact.heard_without(), false),
-                // Asked for again it would read no better, and what follows it must be heard.
+                Ok(news) => news.report(invoker, contact.heard_without(), false),
+                // Requesting the event again would fail in the same way and hold up the events after it.
                 Err(error) => {
                     invoker.counters.channel_odd.add();
                     tracing::warn!(number, %error, "command channel: an event was left out");
