--- a/crates/node/src/wire/replicate.rs
+++ b/crates/node/src/wire/replicate.rs
@@ -1,14 +1,14 @@
-//! Anti-entropy between the stores of a few nodes that all name each other as peers, over TCP.
+//! Anti-entropy replication over TCP between the stores of a few nodes that are all configured as peers of each other.
 //!
-//! A node keeps a connection to each peer. What it writes is pushed at once. At each interval it compares one hash
-//! over all records with the peer's, if that is due: nodes that hold the same pause. Where the hashes differ, the two
-//! find the buckets that do, then the records in them, and swap what each lacks.
+//! A node keeps a connection to each peer and pushes its own writes at once. At each interval it compares a hash over all
+//! records with the peer's, unless the two were found equal recently. If the hashes differ, the nodes determine the buckets
+//! that differ, then the records in them, and exchange those that the other lacks.
 mod agreements;
-mod answerer;
-mod caller;
+mod client;
 mod error;
 mod mesh;
 mod messages;
+mod server;
 
 pub use error::ReplicationError;
 pub use mesh::Mesh;
@@ -17,7 +17,7 @@
 use super::news::OnNews;
 use crate::life::spawn;
 use crate::memory::store::Store;
-use caller::Caller;
+use client::ReplicationClient;
 use corkbay_ledger::Purpose;
 use may::sync::mpsc;
 use std::io;
@@ -25,19 +25,22 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long the other side may take or send nothing of a message.
-const STALL: Duration = Duration::from_secs(5);
-/// Nodes that may be connected beside the peers.
-const OTHER_CALLERS: usize = 32;
+/// A message fails if the other side accepts or sends no bytes for this long.
+const STALL_TIMEOUT: Duration = Duration::from_secs(5);
+/// Maximum number of incoming connections in addition to one per peer.
+const MAX_OTHER_CONNECTIONS: usize = 32;
 
-/// Listens for other nodes, of which so many are expected.
+/// Opens the listener for connections from other nodes; `peers` is the number of configured peers.
 pub fn open(address: SocketAddr, store: &Store, peers: usize) -> io::Result<Arc<Acceptor>> {
     let account = store.ledger().account(Purpose::Replication).clone();
-    Acceptor::open(address, ConnectionLimits { most: peers + OTHER_CALLERS, stall: STALL, account })
+    Acceptor::open(
+        address,
+        ConnectionLimits { most: peers + MAX_OTHER_CONNECTIONS, stall: STALL_TIMEOUT, account },
+    )
 }
 
-/// Answers other nodes and follows peers for as long as the process lives. To be called before the store is written to
-/// by others.
+/// Starts replication for as long as the process lives: serves other nodes, and pushes to and compares with the peers. Must
+/// be called before anything else writes to the store.
 pub fn start(
     store: &Arc<Store>,
     acceptor: Arc<Acceptor>,
@@ -46,26 +49,26 @@
     on_news: OnNews,
 ) -> Arc<Mesh> {
     let (mesh, changes) = Mesh::new(store.clone(), on_news);
-    let indexed = mesh.clone();
-    spawn(move || indexed.follow_changes(&changes));
-    listen(mesh.clone(), acceptor);
-    let mut listeners = Vec::new();
+    let indexing = mesh.clone();
+    spawn(move || indexing.follow_changes(&changes));
+    accept_peers(mesh.clone(), acceptor);
+    let mut write_senders = Vec::new();
     for peer in peers {
-        let (writes, written) = mpsc::channel();
-        listeners.push(writes);
-        let caller = Caller::new(mesh.clone(), *peer, interval);
-        spawn(move || caller.run(&written));
+        let (sender, local_writes) = mpsc::channel();
+        write_senders.push(sender);
+        let client = ReplicationClient::new(mesh.clone(), *peer, interval);
+        spawn(move || client.run(&local_writes));
     }
-    store.on_write(listeners);
+    store.on_write(write_senders);
     mesh
 }
 
-fn listen(mesh: Arc<Mesh>, acceptor: Arc<Acceptor>) {
+fn accept_peers(mesh: Arc<Mesh>, acceptor: Arc<Acceptor>) {
     spawn(move || {
         acceptor.accept(move |connection| {
-            // It keeps its place while it says nothing.
+            // Counted as busy for its lifetime, so that an idle peer connection is not evicted.
             connection.opened();
-            if let Err(error) = answerer::answer(&mesh, &connection) {
+            if let Err(error) = server::serve(&mesh, &connection) {
                 tracing::warn!(%error, "replication: a caller");
             }
             connection.shut(Shutdown::Both);
--- a/crates/node/src/wire/replicate/agreements.rs
+++ b/crates/node/src/wire/replicate/agreements.rs
@@ -1,42 +1,43 @@
-//! When this node and each of its peers last found that they hold the same.
+//! Records when this node and each peer were last found to hold the same records.
 use corkbay::Ms;
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Peers with the same records compare again after this.
+/// Peers with equal records compare again after this time.
 const PAUSE_MS: Ms = 10_000.0;
-/// Of two nodes that call each other, the one with the greater name leaves the other so much more time to ask, so
-/// that one exchange serves both.
-const SECOND_PAUSE_MS: Ms = 15_000.0;
-/// Most peers that are remembered.
-const MOST_PEERS: usize = 1024;
+/// The pause of the node with the greater name. It is longer so that the other node compares first and one exchange serves
+/// both.
+const GREATER_NAME_PAUSE_MS: Ms = 15_000.0;
+/// Maximum number of remembered peers; the table is cleared when a further one is added.
+const MAX_PEERS: usize = 1024;
 
+/// An equal comparison: the hash over all records, and when it was found, in milliseconds.
 struct Agreement {
-    root: u64,
-    at: Ms,
+    root_hash: u64,
+    found_at: Ms,
 }
 
-/// The last agreement with each peer by name.
+/// The last equal comparison with each peer, by the peer's name.
 #[derive(Default)]
 pub struct Agreements {
     by_peer: HashMap<Arc<str>, Agreement>,
 }
 
 impl Agreements {
-    /// Notes that a peer holds what this node does.
-    pub fn note(&mut self, peer: &Arc<str>, root: u64, now: Ms) {
-        if self.by_peer.len() >= MOST_PEERS && !self.by_peer.contains_key(peer) {
+    /// Records that a peer holds the same records as this node, with the given hash over all of them.
+    pub fn record(&mut self, peer: &Arc<str>, root_hash: u64, now: Ms) {
+        if self.by_peer.len() >= MAX_PEERS && !self.by_peer.contains_key(peer) {
             self.by_peer.clear();
         }
-        self.by_peer.insert(peer.clone(), Agreement { root, at: now });
+        self.by_peer.insert(peer.clone(), Agreement { root_hash, found_at: now });
     }
 
-    /// Whether a node that holds `root` now is to compare with a peer: at once where its records are not those that
-    /// both agreed on, and after a pause otherwise.
-    pub fn is_due(&self, own: &str, peer: &str, root: u64, now: Ms) -> bool {
+    /// Whether a comparison with a peer is due: at once if the hash over this node's records has changed since the last
+    /// equal comparison, otherwise after a pause.
+    pub fn is_due(&self, own_name: &str, peer: &str, root_hash: u64, now: Ms) -> bool {
         let Some(agreement) = self.by_peer.get(peer) else { return true };
-        let pause = if own < peer { PAUSE_MS } else { SECOND_PAUSE_MS };
-        agreement.root != root || now - agreement.at >= pause
+        let pause = if own_name < peer { PAUSE_MS } else { GREATER_NAME_PAUSE_MS };
+        agreement.root_hash != root_hash || now - agreement.found_at >= pause
     }
 }
 
--- a/crates/node/src/wire/replicate/error.rs
+++ b/crates/node/src/wire/replicate/error.rs
@@ -1,29 +1,29 @@
-//! Errors of replication.
+//! Replication errors.
 use crate::memory::store::StoreError;
 use crate::wire::framing::FramingError;
 use std::io;
 
-/// Why two nodes did not come together.
+/// Why an exchange between two nodes failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ReplicationError {
-    /// The connection or a message.
+    /// A connection or framing error.
     #[error(transparent)]
     Framing(#[from] FramingError),
-    /// What came could not be kept.
+    /// Received records could not be stored.
     #[error(transparent)]
     Store(#[from] StoreError),
-    /// The other node began as versions before 2 do.
-    #[error("the other node speaks an earlier version of replication; it is to be brought up to this one")]
+    /// The other node uses a protocol version before 2.
+    #[error("the other node uses an earlier version of the replication protocol and must be upgraded")]
     EarlierVersion,
-    /// The other node closed the connection instead of greeting.
-    #[error("the other node closed the connection at the greeting, as one of an earlier version does")]
+    /// The other node closed the connection instead of replying to the greeting.
+    #[error("the other node closed the connection during the greeting, as nodes of an earlier version do")]
     NotGreeted,
-    /// The other node speaks a version that is not known here.
-    #[error("the other node speaks version {0} of replication")]
+    /// The other node uses an unknown protocol version.
+    #[error("the other node uses unknown version {0} of the replication protocol")]
     UnknownVersion(u32),
-    /// A message that does not belong where it came.
-    #[error("a message out of turn")]
-    OutOfTurn,
+    /// A message that the protocol doesn't allow at this point.
+    #[error("unexpected replication message")]
+    UnexpectedMessage,
 }
 
 impl From<io::Error> for ReplicationError {
--- a/crates/node/src/wire/replicate/mesh.rs
+++ b/crates/node/src/wire/replicate/mesh.rs
@@ -1,4 +1,4 @@
-//! What the connections of a node to its peers have in common.
+//! State shared by all replication connections of a node.
 use super::agreements::Agreements;
 use super::error::ReplicationError;
 use super::messages::Held;
@@ -16,12 +16,12 @@
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::sync::Arc;
 
-/// The part of the account that one message's records, or its list of hashes, may take.
-const MESSAGE_PART: usize = 8;
-/// What a key and its hash take in a list beside the key's text.
-const HELD_OVERHEAD: usize = 48;
+/// The records or the hash list of one message may take up to one part in this many of the account's cap.
+const MESSAGE_SHARE_DIVISOR: usize = 8;
+/// Memory of an entry in a hash list in addition to the key's bytes.
+const HASH_ENTRY_OVERHEAD_BYTES: usize = 48;
 
-/// The store as its peers see it.
+/// The replicated store with its index and the results of comparisons with peers.
 pub struct Mesh {
     store: Arc<Store>,
     index: Mutex<RecordIndex>,
@@ -31,7 +31,7 @@
 }
 
 impl Mesh {
-    /// The mesh of a store, and what its index is to be told of.
+    /// Creates the shared state for a store, and the receiver of changes for [`Mesh::follow_changes`].
     pub fn new(store: Arc<Store>, on_news: OnNews) -> (Arc<Self>, mpsc::Receiver<Record>) {
         let (index, changes) = RecordIndex::of_store(Scope::Shared, &store);
         let mesh = Mesh {
@@ -58,44 +58,45 @@
         self.store.node()
     }
 
-    /// Bytes of messages sent to peers so far.
+    /// Bytes sent to peers so far.
     pub fn sent_bytes(&self) -> u64 {
         self.sent_bytes.load(Relaxed)
     }
 
-    /// The hash over all records.
-    pub fn root(&self) -> u64 {
+    /// Hash over all records.
+    pub fn root_hash(&self) -> u64 {
         let mut index = lock(&self.index);
         index.expire(UnixTime::steady());
         index.root()
     }
 
-    /// The hashes of the buckets.
-    pub fn hashes(&self) -> BucketHashes {
+    /// Hash of each bucket.
+    pub fn bucket_hashes(&self) -> BucketHashes {
         let mut index = lock(&self.index);
         index.expire(UnixTime::steady());
         index.hashes()
     }
 
-    /// Whether it is time to compare with a peer.
+    /// Whether a comparison with a peer is due.
     pub fn is_due(&self, peer: &str) -> bool {
-        let root = self.root();
-        lock(&self.agreements).is_due(self.node(), peer, root, monotonic_ms())
+        let root_hash = self.root_hash();
+        lock(&self.agreements).is_due(self.node(), peer, root_hash, monotonic_ms())
     }
 
-    /// Notes that a peer holds the same records.
-    pub fn agreed(&self, peer: &Arc<str>, root: u64) {
-        lock(&self.agreements).note(peer, root, monotonic_ms());
+    /// Records that a peer holds the same records.
+    pub fn record_agreement(&self, peer: &Arc<str>, root_hash: u64) {
+        lock(&self.agreements).record(peer, root_hash, monotonic_ms());
     }
 
-    /// What is held in these buckets: as many of them, from the first on, as go into a message; one at least.
-    pub fn held(&self, buckets: impl Iterator<Item = BucketNumber>) -> Held {
-        let (index, most) = (lock(&self.index), self.message_bytes());
+    /// The hashes of this node's records in the given buckets: as many buckets from the first on as fit into a message, and
+    /// at least one.
+    pub fn bucket_contents(&self, buckets: impl Iterator<Item = BucketNumber>) -> Held {
+        let (index, max_bytes) = (lock(&self.index), self.max_message_bytes());
         let (mut held, mut bytes) = (Held::default(), 0);
         for bucket in buckets {
-            let entry_bytes = |(key, _): (&Arc<str>, u64)| key.len() + HELD_OVERHEAD;
+            let entry_bytes = |(key, _): (&Arc<str>, u64)| key.len() + HASH_ENTRY_OVERHEAD_BYTES;
             bytes += index.bucket(bucket).map(entry_bytes).sum::<usize>();
-            if bytes > most && !held.buckets.is_empty() {
+            if bytes > max_bytes && !held.buckets.is_empty() {
                 break;
             }
             held.buckets.push(bucket.0);
@@ -104,19 +105,20 @@
         held
     }
 
-    /// The records that a node that holds this lacks or has in another version, as many as go into a message and at
-    /// least one: the rest comes with the next comparison.
-    pub fn lacking(&self, theirs: &Held) -> Vec<Record> {
+    /// The records that a peer lacks or has in another version, given its hashes. Returns as many as fit into a message, and
+    /// at least one; the rest follows with the next comparison.
+    pub fn records_missing_at(&self, peer_held: &Held) -> Vec<Record> {
         let keys: Vec<Arc<str>> = {
             let index = lock(&self.index);
-            let entries = theirs.bucket_numbers().flat_map(|bucket| index.bucket(bucket).collect::<Vec<_>>());
-            let differing = entries.filter(|(key, hash)| theirs.hashes.get(*key) != Some(hash));
+            let entries =
+                peer_held.bucket_numbers().flat_map(|bucket| index.bucket(bucket).collect::<Vec<_>>());
+            let differing = entries.filter(|(key, hash)| peer_held.hashes.get(*key) != Some(hash));
             differing.map(|(key, _)| key.clone()).collect()
         };
         let (mut records, mut bytes) = (Vec::new(), 0);
         for record in keys.iter().filter_map(|key| self.store.get(key)) {
             bytes += record.size();
-            if bytes > self.message_bytes() && !records.is_empty() {
+            if bytes > self.max_message_bytes() && !records.is_empty() {
                 break;
             }
             records.push(record);
@@ -124,8 +126,8 @@
         records
     }
 
-    /// Keeps what a peer sent.
-    pub fn take(&self, records: Vec<Record>) -> Result<(), ReplicationError> {
+    /// Stores records that a peer sent, and reports changes.
+    pub fn store_records(&self, records: Vec<Record>) -> Result<(), ReplicationError> {
         let news = News::of(&records);
         if self.store.merge(records)? > 0 && !news.is_empty() {
             (self.on_news)(news);
@@ -133,14 +135,14 @@
         Ok(())
     }
 
-    /// Sends a message.
+    /// Sends a message; its memory is charged to the account of replication.
     pub fn send(&self, socket: &mut impl Write, message: &impl Serialize) -> Result<(), ReplicationError> {
         let bytes = framing::send(self.account(), socket, message)?;
         self.sent_bytes.fetch_add(bytes as u64, Relaxed);
         Ok(())
     }
 
-    /// Receives a message.
+    /// Receives a message; its memory is charged to the account of replication.
     pub fn receive<T: DeserializeOwned>(
         &self,
         socket: &mut impl Read,
@@ -152,7 +154,7 @@
         self.store.ledger().account(Purpose::Replication)
     }
 
-    fn message_bytes(&self) -> usize {
-        self.account().cap() / MESSAGE_PART
+    fn max_message_bytes(&self) -> usize {
+        self.account().cap() / MESSAGE_SHARE_DIVISOR
     }
 }
--- a/crates/node/src/wire/replicate/messages.rs
+++ b/crates/node/src/wire/replicate/messages.rs
@@ -1,4 +1,4 @@
-//! What peers say to each other over a connection that stays.
+//! The messages of the replication protocol, which peers exchange over a long-lived connection.
 use crate::memory::record::Record;
 use corkbay_feed::{BucketHashes, BucketNumber};
 use serde::de::IgnoredAny;
@@ -6,78 +6,78 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The version of the protocol.
-pub const VERSION: u32 = 2;
+/// The protocol version of this node.
+pub const PROTOCOL_VERSION: u32 = 2;
 
-/// Who a node is.
+/// The greeting of a node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
-    /// The version of the protocol that it speaks.
+    /// The protocol version of the node.
     pub version: u32,
-    /// Its name.
+    /// The node's name.
     pub node: Arc<str>,
 }
 
-/// What a connection may begin with.
+/// The first message on a connection, including those of earlier protocol versions.
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Opening {
     /// The greeting.
     Hello(Hello),
-    /// The digest that versions before 2 began with.
+    /// The digest that versions before 2 send first.
     Digest(IgnoredAny),
-    /// The records that versions before 2 sent without a greeting.
+    /// The records that versions before 2 send without a greeting.
     Push(IgnoredAny),
 }
 
-/// From the node that connected.
+/// A message from the node that opened the connection.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Request {
     /// The first message; answered by [`Reply::Hello`].
     Hello(Hello),
-    /// Records that it has just written; nothing is answered.
+    /// Records that the sender has just written; not answered.
     Push(Vec<Record>),
-    /// The hash over all its records; answered by [`Reply::Equal`] or [`Reply::Buckets`].
+    /// The hash over all records of the sender; answered by [`Reply::Equal`] or [`Reply::Buckets`].
     Compare(u64),
-    /// What it holds in buckets that differ; answered by [`Reply::Difference`].
+    /// The record hashes of the sender in buckets that differ; answered by [`Reply::Difference`].
     Held(Held),
-    /// Records that the other side lacks; answered by [`Reply::Taken`].
+    /// Records that the receiver lacks; answered by [`Reply::Taken`].
     Records(Vec<Record>),
 }
 
-/// From the node that was connected to.
+/// A message from the node that accepted the connection.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reply {
-    /// Who it is.
+    /// The greeting.
     Hello(Hello),
-    /// It holds the same.
+    /// The sender holds the same records.
     Equal,
-    /// It does not: the hashes of its buckets.
+    /// The records differ; the sender's bucket hashes.
     Buckets(BucketHashes),
-    /// Records that the other side lacks, and what it holds itself in the same buckets.
+    /// Records that the receiver lacks, and the sender's record hashes in the same buckets.
     Difference {
-        /// The records, as many as go into a message.
+        /// As many of the records as fit into a message.
         records: Vec<Record>,
-        /// What it holds.
+        /// The sender's record hashes.
         held: Held,
     },
-    /// The records are kept.
+    /// The records are stored.
     Taken,
 }
 
-/// The records of some buckets by the hashes of their versions.
+/// The hashes of a node's records in some buckets. A hash covers a record's version.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct Held {
-    /// The buckets.
+    /// The bucket numbers.
     pub buckets: Vec<u8>,
-    /// The hash of the record under each key in them.
+    /// The hash of each record in these buckets by key.
     pub hashes: BTreeMap<Arc<str>, u64>,
 }
 
 impl Held {
-    /// The buckets by their numbers.
+    /// The bucket numbers as typed values.
     pub fn bucket_numbers(&self) -> impl Iterator<Item = BucketNumber> + '_ {
         self.buckets.iter().copied().map(BucketNumber)
     }
