--- a/crates/node/src/wire/feed.rs
+++ b/crates/node/src/wire/feed.rs
@@ -1,15 +1,15 @@
 //! The change feed over TCP: control nodes serve their configuration to followers, which keep it on disk.
 //!
-//! The decisions are those of the `corkbay-feed` package; here are the sockets, the store and the clock. Messages are
-//! [framed](super::framing) and count in the account of replication.
+//! The protocol logic is in the `corkbay-feed` package; this module connects it to sockets, the store and the clock. Messages
+//! are [framed](super::framing), and their memory is charged to the account of replication.
 //!
 //! | module | job |
 //! | --- | --- |
-//! | `server` | a control node's side: who follows, and what changes |
-//! | `session` | one follower's connection and what is on its way to it |
-//! | `follower` | a follower's side |
-//! | `records` | the store as the decisions read it |
-//! | `status` | what is told to operators |
+//! | `server` | the control node's side: connected followers and changes |
+//! | `session` | a follower's connection and its send queue |
+//! | `follower` | the follower's side |
+//! | `records` | read access to the store for the protocol logic |
+//! | `status` | status reports for operators |
 mod follower;
 mod records;
 mod server;
--- a/crates/node/src/wire/feed/follower.rs
+++ b/crates/node/src/wire/feed/follower.rs
@@ -1,4 +1,4 @@
-//! A follower's side of the feed.
+//! The follower's side of the feed: receives configuration from a control node and stores it.
 use super::records::ConfigurationRecords;
 use crate::core::lock;
 use crate::core::monotonic_ms;
@@ -25,52 +25,53 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Where the position is kept.
+/// Key of the stored feed position.
 const POSITION_KEY: &str = "local/feed-position";
-/// Where the last page of a copy that is not complete is noted.
+/// Key of the last stored page of an incomplete copy.
 const PAGE_KEY: &str = "local/feed-page";
-/// How long the control node may send or take nothing of a message that has begun.
-const STALL: Duration = Duration::from_secs(3);
-/// Pauses after writes that failed, one after the other: the first in milliseconds, doubled up to the longest.
+/// A message fails if the control node sends or accepts no bytes for this long after it has begun.
+const STALL_TIMEOUT: Duration = Duration::from_secs(3);
+/// Pauses after consecutive failed writes, in milliseconds: the first one, doubled each time up to the maximum.
 const FIRST_WRITE_PAUSE_MS: Ms = 500.0;
-const LONGEST_WRITE_PAUSE_MS: Ms = 10_000.0;
-/// Longest wait without a look at whether the follower is to end.
-const LONGEST_WAIT_MS: Ms = 500.0;
+const MAX_WRITE_PAUSE_MS: Ms = 10_000.0;
+/// Maximum wait before the follower checks whether it has been stopped, in milliseconds.
+const MAX_WAIT_MS: Ms = 500.0;
 
 /// A control node as a follower knows it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ControlAddress {
-    /// Where it serves its feed.
+    /// Address of its feed.
     pub address: SocketAddr,
-    /// Its zone, where that is known.
+    /// Its zone, if known.
     pub zone: Option<String>,
-    /// Where its invoke API listens, where that is known.
+    /// Address of its invoke API, if known.
     pub api: Option<SocketAddr>,
 }
 
-/// Whom to follow.
+/// The control nodes to follow and how to choose between them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FollowOptions {
-    /// The follower's own zone, where that is known.
+    /// The follower's own zone, if known.
     pub zone: Option<String>,
     /// The control nodes.
     pub controls: Vec<ControlAddress>,
-    /// After one to three times so long at another than its first choice, a follower tries that again, in milliseconds.
+    /// A follower that is connected to another control node than its first choice tries that again after one to three times
+    /// this time, in milliseconds.
     pub return_ms: Ms,
 }
 
-/// What a follower has done since it started.
+/// Counters of a follower since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FollowerCounters {
-    /// Connections made.
+    /// Connections established.
     pub connections: u64,
-    /// Comparisons with a control node: it could not go on from the position.
+    /// Comparisons with a control node, needed where the feed could not be resumed from the stored position.
     pub comparisons: u64,
-    /// Records that came in differences, which are what those comparisons led to.
+    /// Records received as differences, which are the results of comparisons.
     pub copied_records: u64,
-    /// Records that came as changes.
+    /// Records received as changes.
     pub changed_records: u64,
-    /// Batches that could not be kept.
+    /// Batches that could not be written.
     pub failed_writes: u64,
     /// Bytes of messages received.
     pub received_bytes: u64,
@@ -78,46 +79,46 @@
     pub sent_bytes: u64,
 }
 
-/// How a follower stands.
+/// The state of a follower.
 #[derive(Clone, Debug)]
 pub struct FollowerReport {
-    /// The address of the control node that it has to do with.
+    /// The address of the control node that it is connected or connecting to.
     pub control: Option<SocketAddr>,
-    /// What it is about.
+    /// The state of the feed protocol.
     pub state: FollowerState,
-    /// What it holds on disk.
+    /// The stored position.
     pub position: Option<Position>,
-    /// How many milliseconds ago the control node was last heard.
+    /// Time since the last message from the control node, in milliseconds.
     pub silent_ms: Option<Ms>,
-    /// What was done.
+    /// Counters since the start.
     pub counters: FollowerCounters,
 }
 
 impl FollowerReport {
-    /// Whether it has had a whole copy of the configuration, now or before it was started.
+    /// Whether it holds a complete copy of the configuration, received by this or an earlier process.
     pub fn is_ready(&self) -> bool {
         self.position.is_some()
     }
 }
 
-/// A running follower, which ends with the last handle.
+/// Handle to a running follower. Dropping it stops the follower.
 pub struct FollowerHandle {
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     controls: Vec<ControlAddress>,
 }
 
-struct Shared {
-    published: Mutex<Published>,
-    is_ended: AtomicBool,
+struct SharedState {
+    published: Mutex<PublishedState>,
+    is_stopped: AtomicBool,
 }
 
-struct Published {
+struct PublishedState {
     status: FollowerStatus,
     counters: FollowerCounters,
 }
 
 impl FollowerHandle {
-    /// How it stands.
+    /// The current state.
     pub fn report(&self) -> FollowerReport {
         let published = lock(&self.shared.published);
         let FollowerStatus { state, position, last_heard } = published.status.clone();
@@ -126,7 +127,7 @@
         FollowerReport { control, state, position, silent_ms, counters: published.counters }
     }
 
-    /// Where the configuration can be changed: the invoke API of the control node that it follows, or of another one.
+    /// The address where configuration can be changed: the invoke API of the followed control node, or else of another one.
     pub fn control_api(&self) -> Option<SocketAddr> {
         let state = lock(&self.shared.published).status.state;
         let followed = state.control().and_then(|ControlNumber(number)| self.controls[number].api);
@@ -136,31 +137,32 @@
 
 impl Drop for FollowerHandle {
     fn drop(&mut self) {
-        self.shared.is_ended.store(true, Ordering::Release);
+        self.shared.is_stopped.store(true, Ordering::Release);
     }
 }
 
-/// The disk holds configuration that did not come over the feed: it would stand beside that of the control nodes.
+/// The store holds configuration that was not received over the feed and would be mixed with that of the control nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("holds functions or workers of another role; a follower starts with an empty data_dir")]
 pub struct OtherConfiguration;
 
-/// Whether a node with this store can follow: all configuration that it holds came over the feed, which notes so beside it.
+/// Checks that a node with this store can follow: configuration received over the feed is stored together with a position or
+/// page number.
 ///
 /// # Errors
-/// [`OtherConfiguration`] where it holds any without such a note.
+/// [`OtherConfiguration`] if the store holds configuration without either.
 pub fn check_store(store: &Store) -> Result<(), OtherConfiguration> {
-    let is_noted = [POSITION_KEY, PAGE_KEY].iter().any(|key| store.get(key).is_some());
-    if is_noted || store.configuration_after(None, 1).is_empty() {
+    let is_from_feed = [POSITION_KEY, PAGE_KEY].iter().any(|key| store.get(key).is_some());
+    if is_from_feed || store.configuration_after(None, 1).is_empty() {
         return Ok(());
     }
     Err(OtherConfiguration)
 }
 
-/// Follows control nodes for as long as the handle lives: keeps what comes in the store, and tells of it.
+/// Follows control nodes for as long as the handle lives: stores received records and reports changes to `on_news`.
 ///
 /// # Errors
-/// [`NoControlNodes`] where there is nobody to follow.
+/// [`NoControlNodes`] if `options` names no control node.
 pub fn follow(
     store: Arc<Store>,
     options: FollowOptions,
@@ -172,9 +174,10 @@
     let limits = FollowerLimits { return_ms: options.return_ms, ..FollowerLimits::default() };
     let follower = Follower::new(store.node(), limits, choice, GreaterRecord, position);
     let (index, changes) = RecordIndex::of_store(Scope::Configuration, &store);
-    let published = Published { status: follower.status(), counters: FollowerCounters::default() };
-    let shared = Arc::new(Shared { published: Mutex::new(published), is_ended: AtomicBool::new(false) });
-    let task = Task {
+    let published = PublishedState { status: follower.status(), counters: FollowerCounters::default() };
+    let shared =
+        Arc::new(SharedState { published: Mutex::new(published), is_stopped: AtomicBool::new(false) });
+    let task = FollowerTask {
         store,
         controls: options.controls.clone(),
         follower,
@@ -205,25 +208,25 @@
     socket: Socket,
 }
 
-/// What the follower's coroutine owns.
-struct Task {
+/// The state of the follower's coroutine.
+struct FollowerTask {
     store: Arc<Store>,
     controls: Vec<ControlAddress>,
     follower: Follower<Record, GreaterRecord>,
     index: RecordIndex,
-    /// Records that the index has not seen.
+    /// Records that the index does not include yet.
     changes: mpsc::Receiver<Record>,
     connection: Option<ControlConnection>,
-    /// How long to pause after the next write that fails.
+    /// Pause after the next failed write, in milliseconds.
     write_pause_ms: Ms,
     counters: FollowerCounters,
     on_news: OnNews,
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
 }
 
-impl Task {
+impl FollowerTask {
     fn run(mut self) {
-        while !self.shared.is_ended.load(Ordering::Acquire) {
+        while !self.shared.is_stopped.load(Ordering::Acquire) {
             self.follower.tick(monotonic_ms(), &mut rand::rng());
             self.perform_all();
             self.publish();
@@ -231,7 +234,7 @@
         }
     }
 
-    /// Does what is to be done, and what that leads to.
+    /// Performs all pending actions, and those that result from them.
     fn perform_all(&mut self) {
         loop {
             let actions = self.follower.actions();
@@ -256,11 +259,11 @@
     fn connect(&mut self, number: ConnectionNumber, ControlNumber(control): ControlNumber) {
         let address = self.controls[control].address;
         let within = Duration::from_secs_f64(FollowerLimits::default().connect_ms / 1000.0);
-        match Socket::connect(&address, within, STALL) {
+        match Socket::connect(&address, within, STALL_TIMEOUT) {
             Ok(socket) => {
                 self.counters.connections += 1;
                 self.connection = Some(ControlConnection { number, socket });
-                self.note_changes();
+                self.update_index();
                 let records = ConfigurationRecords { store: &self.store, index: &self.index };
                 self.follower.connected(number, &records, monotonic_ms());
             }
@@ -272,26 +275,27 @@
     }
 
     fn send(&mut self, number: ConnectionNumber, message: &FollowerMessage) {
-        let Some(connection) = self.connection.as_ref().filter(|standing| standing.number == number) else {
+        let Some(connection) = self.connection.as_ref().filter(|connection| connection.number == number)
+        else {
             return;
         };
         if matches!(message, FollowerMessage::Buckets { .. }) {
             self.counters.comparisons += 1;
         }
-        match framing::send(self.account(), &mut connection.socket.patient(STALL), message) {
+        match framing::send(self.account(), &mut connection.socket.patient(STALL_TIMEOUT), message) {
             Ok(bytes) => self.counters.sent_bytes += bytes as u64,
-            Err(error) => self.lose(number, &error),
+            Err(error) => self.close_failed(number, &error),
         }
     }
 
     fn disconnect(&mut self, number: ConnectionNumber) {
-        if let Some(connection) = self.connection.take_if(|standing| standing.number == number) {
+        if let Some(connection) = self.connection.take_if(|connection| connection.number == number) {
             connection.socket.shut(Shutdown::Both);
         }
     }
 
-    /// The connection is of no use any more.
-    fn lose(&mut self, number: ConnectionNumber, error: &FramingError) {
+    /// Closes a connection after an error.
+    fn close_failed(&mut self, number: ConnectionNumber, error: &FramingError) {
         if !error.is_closed() {
             tracing::warn!(%error, "feed: the connection to a control node");
         }
@@ -307,7 +311,7 @@
                 if count > 0 && news.workers {
                     (self.on_news)(news);
                 }
-                self.note_changes();
+                self.update_index();
                 let records = ConfigurationRecords { store: &self.store, index: &self.index };
                 self.follower.persisted(batch, &records, monotonic_ms());
             }
@@ -320,39 +324,39 @@
         }
     }
 
-    /// Leaves the control nodes alone for a while: what can't be kept now would only be sent again.
+    /// Disconnects and pauses: records that can't be written now would only be sent again.
     fn pause_writes(&mut self) {
         if let Some(connection) = self.connection.take() {
             connection.socket.shut(Shutdown::Both);
         }
         self.publish();
         timers::sleep(Duration::from_secs_f64(self.write_pause_ms / 1000.0));
-        self.write_pause_ms = (2.0 * self.write_pause_ms).min(LONGEST_WRITE_PAUSE_MS);
+        self.write_pause_ms = (2.0 * self.write_pause_ms).min(MAX_WRITE_PAUSE_MS);
     }
 
-    /// Keeps records and, behind them, how far they lead.
+    /// Writes records and, after them, the position or page that they lead to.
     fn write(
         &self,
         BatchNumber(batch): BatchNumber,
         records: Vec<Record>,
         position: Option<Position>,
     ) -> Result<usize, StoreError> {
-        let (key, note) = match position {
+        let (key, progress) = match position {
             Some(position) => (POSITION_KEY, Text::of(&position)),
             None => (PAGE_KEY, Text::of(&batch)),
         };
-        let note = note.map_err(|error| LogError::Io(error.to_string()))?;
-        self.store.merge_with_note(records, key, note)
+        let progress = progress.map_err(|error| LogError::Io(error.to_string()))?;
+        self.store.merge_with_note(records, key, progress)
     }
 
-    fn note_changes(&mut self) {
+    fn update_index(&mut self) {
         let index = &mut self.index;
         self.changes.try_iter().for_each(|record| index.note(&record));
     }
 
-    /// Waits for a message, or until something is due.
+    /// Waits for a message or until the next timer of the protocol is due.
     fn wait(&mut self) {
-        let due_in = (self.follower.next_wakeup() - monotonic_ms()).clamp(1.0, LONGEST_WAIT_MS);
+        let due_in = (self.follower.next_wakeup() - monotonic_ms()).clamp(1.0, MAX_WAIT_MS);
         let within = Duration::from_secs_f64(due_in / 1000.0);
         let Some(connection) = &self.connection else {
             timers::sleep(within);
@@ -361,12 +365,12 @@
         let number = connection.number;
         match receive(self.account(), &connection.socket, within) {
             Ok(None) => {}
-            Ok(Some(received)) => self.take(number, received),
-            Err(error) => self.lose(number, &error),
+            Ok(Some(received)) => self.handle_message(number, received),
+            Err(error) => self.close_failed(number, &error),
         }
     }
 
-    fn take(&mut self, number: ConnectionNumber, received: Received<ControlMessage<Record>>) {
+    fn handle_message(&mut self, number: ConnectionNumber, received: Received<ControlMessage<Record>>) {
         self.counters.received_bytes += received.bytes as u64;
         match &received.message {
             ControlMessage::Changes { records, .. } => self.counters.changed_records += records.len() as u64,
@@ -375,7 +379,7 @@
             }
             _ => {}
         }
-        self.note_changes();
+        self.update_index();
         let records = ConfigurationRecords { store: &self.store, index: &self.index };
         self.follower.message(number, received.message, &records, monotonic_ms(), &mut rand::rng());
     }
@@ -391,20 +395,20 @@
     }
 }
 
-/// The next message, if one begins in that time.
+/// Receives the next message; `None` if none begins within `within`.
 fn receive(
     account: &Account,
     socket: &Socket,
     within: Duration,
 ) -> Result<Option<Received<ControlMessage<Record>>>, FramingError> {
     let mut head = Head::default();
-    let begun = match socket.read(&mut head, within) {
+    let head_bytes = match socket.read(&mut head, within) {
         Ok(0) => return Err(io::Error::from(ErrorKind::UnexpectedEof).into()),
         Ok(size) => size,
         Err(error) if error.kind() == ErrorKind::TimedOut => return Ok(None),
         Err(error) => return Err(error.into()),
     };
-    let mut rest = socket.patient(STALL);
-    rest.read_exact(&mut head[begun..])?;
-    framing::receive_after(account, &mut rest, head, MAX_MESSAGE).map(Some)
+    let mut reader = socket.patient(STALL_TIMEOUT);
+    reader.read_exact(&mut head[head_bytes..])?;
+    framing::receive_after(account, &mut reader, head, MAX_MESSAGE).map(Some)
 }
--- a/crates/node/src/wire/feed/records.rs
+++ b/crates/node/src/wire/feed/records.rs
@@ -1,13 +1,13 @@
-//! The configuration records of a store as the decisions read them.
+//! Read access to the configuration records of a store for the protocol logic.
 use crate::memory::record::Record;
 use crate::memory::store::Store;
 use crate::wire::index::{RecordIndex, Scope};
 use corkbay_feed::{BucketHashes, BucketSet, Page, Records};
 
-/// Records that are read from the store at a time.
-const READ_AHEAD: usize = 64;
+/// Number of records that are read from the store at a time.
+const READ_BATCH_RECORDS: usize = 64;
 
-/// A store with the index of its configuration.
+/// A store with the index of its configuration records.
 pub struct ConfigurationRecords<'a> {
     /// The store.
     pub store: &'a Store,
@@ -24,20 +24,20 @@
         self.index.hashes()
     }
 
-    fn page(&self, buckets: &BucketSet, after: Option<&str>, most_bytes: usize) -> Page<Record> {
+    fn page(&self, buckets: &BucketSet, after: Option<&str>, max_bytes: usize) -> Page<Record> {
         let mut page = Page { records: Vec::new(), is_last: true };
         let mut last_key = after.map(str::to_string);
         loop {
-            let read = self.store.configuration_after(last_key.as_deref(), READ_AHEAD);
+            let read = self.store.configuration_after(last_key.as_deref(), READ_BATCH_RECORDS);
             let Some(last) = read.last() else { return page };
             last_key = Some(last.key.to_string());
-            let known = page.records.len();
+            let previous_count = page.records.len();
             let all = page.records.iter().chain(&read);
-            let filled = Page::fill(all, buckets, most_bytes);
+            let filled = Page::fill(all, buckets, max_bytes);
             if !filled.is_last {
                 return filled;
             }
-            debug_assert!(filled.records.len() >= known);
+            debug_assert!(filled.records.len() >= previous_count);
             page = filled;
         }
     }
--- a/crates/node/src/wire/feed/records/tests.rs
+++ b/crates/node/src/wire/feed/records/tests.rs
@@ -4,12 +4,12 @@
 use crate::memory::store::Draft;
 use corkbay_feed::{BucketNumber, FeedRecord};
 
-const FUNCTIONS: usize = 300;
-const MOST_BYTES: usize = 4 << 10;
+const FUNCTION_COUNT: usize = 300;
+const MAX_PAGE_BYTES: usize = 4 << 10;
 
 fn filled_store() -> Store {
     let store = Store::in_memory("n", roomy());
-    for number in 0..FUNCTIONS {
+    for number in 0..FUNCTION_COUNT {
         let key = format!("function/{number}");
         store.put(&mut Draft::new(&key, Text::of(&number).ok())).expect("room");
     }
@@ -19,15 +19,15 @@
     store
 }
 
-/// All pages of some buckets, one after the other.
-fn copied(store: &Store, buckets: &BucketSet) -> Vec<Record> {
+/// Reads all pages of the given buckets in order.
+fn read_all_pages(store: &Store, buckets: &BucketSet) -> Vec<Record> {
     let (index, _changes) = RecordIndex::of_store(Scope::Configuration, store);
     let records = ConfigurationRecords { store, index: &index };
     let mut all: Vec<Record> = Vec::new();
     loop {
-        let page = records.page(buckets, all.last().map(|record| &*record.key), MOST_BYTES);
+        let page = records.page(buckets, all.last().map(|record| &*record.key), MAX_PAGE_BYTES);
         let bytes: usize = page.records.iter().map(FeedRecord::size).sum();
-        assert!(bytes <= MOST_BYTES, "{bytes}");
+        assert!(bytes <= MAX_PAGE_BYTES, "{bytes}");
         assert!(page.is_last || !page.records.is_empty());
         all.extend(page.records);
         if page.is_last {
@@ -36,12 +36,13 @@
     }
 }
 
-/// Guards copies: each configuration record once, in order, tombstones too, and nothing else, in pages of bounded size.
+/// A copy must contain each configuration record exactly once and in order, including tombstones, and no other records, in
+/// pages of bounded size.
 #[test]
 fn pages_cover_the_configuration_once() {
     let store = filled_store();
-    let all = copied(&store, &BucketSet::all());
-    assert_eq!(all.len(), FUNCTIONS + 1);
+    let all = read_all_pages(&store, &BucketSet::all());
+    assert_eq!(all.len(), FUNCTION_COUNT + 1);
     assert!(all.windows(2).all(|pair| pair[0].key < pair[1].key));
     assert!(all.iter().any(|record| &*record.key == "worker/gone" && record.value.is_none()));
 }
@@ -50,11 +51,11 @@
 fn pages_hold_the_buckets_asked_for() {
     let store = filled_store();
     let buckets: BucketSet = (0..40).map(BucketNumber).collect();
-    let some = copied(&store, &buckets);
-    let expected = copied(&store, &BucketSet::all());
+    let some = read_all_pages(&store, &buckets);
+    let expected = read_all_pages(&store, &BucketSet::all());
     let expected: Vec<Record> =
         expected.into_iter().filter(|record| buckets.contains(BucketNumber::of(&record.key))).collect();
-    assert!(!some.is_empty() && some.len() < FUNCTIONS);
+    assert!(!some.is_empty() && some.len() < FUNCTION_COUNT);
     assert_eq!(some, expected);
 }
 
--- a/crates/node/src/wire/feed/server.rs
+++ b/crates/node/src/wire/feed/server.rs
@@ -1,4 +1,4 @@
-//! A control node's side of the feed.
+//! The control node's side of the feed: serves configuration and its changes to followers.
 use super::records::ConfigurationRecords;
 use super::session::Session;
 use crate::core::{lock, monotonic_ms, UnixTime};
@@ -24,24 +24,24 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long a follower may take nothing of a message.
+/// A write fails if the follower accepts no bytes for this long.
 pub const WRITE_STALL: Duration = Duration::from_secs(5);
-/// Longest silence on a connection that the decisions have not closed by then.
-const READ_STALL: Duration = Duration::from_secs(10);
-/// Longest text of a follower's message: the hashes of its buckets.
-const MOST_FOLLOWER_MESSAGE: usize = 8 << 10;
-/// Connections beyond the most followers, so that these can be told to go elsewhere.
+/// Read timeout of a connection. The protocol logic normally closes silent connections earlier.
+const READ_TIMEOUT: Duration = Duration::from_secs(10);
+/// Maximum size of a message from a follower; the largest one holds its bucket hashes.
+const MAX_FOLLOWER_MESSAGE_BYTES: usize = 8 << 10;
+/// Connections beyond the maximum number of followers, so that further followers can be told to use another control node.
 const SPARE_CONNECTIONS: usize = 16;
-/// Longest time between two looks for what is due.
-const TICK: Duration = Duration::from_millis(100);
-/// The part of the account of replication that the records of one message may take.
-const MESSAGE_PART: usize = 16;
-/// A change is to be in force at every follower by then.
-const LAGGARD_MS: Ms = 6000.0;
-/// Most laggards that are named.
-const MOST_LAGGARDS: usize = 16;
+/// Maximum time between two checks for due timers.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
+/// The records of one message may take one part in this many of the cap of the replication account.
+const MESSAGE_SHARE_DIVISOR: usize = 16;
+/// A follower that has been behind for longer than this is a laggard: every change should be applied by then.
+const LAGGARD_THRESHOLD_MS: Ms = 6000.0;
+/// Maximum number of laggards listed in a report.
+const MAX_NAMED_LAGGARDS: usize = 16;
 
-/// Listens for so many followers.
+/// Opens the feed listener for the given maximum number of followers.
 pub fn open(address: SocketAddr, store: &Store, followers: usize) -> io::Result<Arc<Acceptor>> {
     let account = store.ledger().account(Purpose::Replication).clone();
     let most = followers + SPARE_CONNECTIONS;
@@ -58,28 +58,28 @@
     server
 }
 
-/// What a control node tells of its feed.
+/// The state of a control node's feed.
 #[derive(Clone, Debug)]
 pub struct FeedReport {
     /// The position after the last change.
     pub position: Position,
-    /// Followers that are connected.
+    /// Number of connected followers.
     pub followers: usize,
-    /// The one that is the most changes behind.
+    /// The follower that is the most changes behind.
     pub oldest: Option<FollowerLag>,
-    /// Those that have been behind for longer than a change may take: how many.
+    /// Number of laggards: followers that have been behind for too long.
     pub laggards: usize,
-    /// Some of these.
+    /// Some of the laggards.
     pub named_laggards: Vec<FollowerLag>,
     /// Bytes sent to followers.
     pub sent_bytes: u64,
-    /// Bytes received from them.
+    /// Bytes received from followers.
     pub received_bytes: u64,
-    /// Copies that are being made.
+    /// Number of running copies.
     pub copies_running: usize,
-    /// Followers that wait for a copy.
+    /// Number of followers that wait for a copy.
     pub copies_waiting: usize,
-    /// What was done since the start.
+    /// Counters since the start.
     pub counters: FeedCounters,
 }
 
@@ -100,9 +100,9 @@
 
 impl FeedServer {
     fn new(store: Arc<Store>, limits: FeedLimits) -> (Arc<Self>, mpsc::Receiver<Record>) {
-        let most_page = store.ledger().account(Purpose::Replication).cap() / MESSAGE_PART;
-        let page_bytes = limits.page_bytes.min(most_page);
-        let window_bytes = limits.window_bytes.min(most_page);
+        let max_message_bytes = store.ledger().account(Purpose::Replication).cap() / MESSAGE_SHARE_DIVISOR;
+        let page_bytes = limits.page_bytes.min(max_message_bytes);
+        let window_bytes = limits.window_bytes.min(max_message_bytes);
         let limits = FeedLimits { page_bytes, window_bytes, ..limits };
         let (index, changes) = RecordIndex::of_store(Scope::Configuration, &store);
         let feed = Feed::new(limits, Position::start(&mut rand::rng()), monotonic_ms());
@@ -116,13 +116,13 @@
         (Arc::new(server), changes)
     }
 
-    /// How it stands.
+    /// The current state.
     pub fn report(&self) -> FeedReport {
         let now = monotonic_ms();
         let state = lock(&self.state);
         let followers = state.feed.followers(now);
         let oldest = followers.iter().max_by_key(|lag| lag.behind).cloned();
-        let is_laggard = |lag: &&FollowerLag| lag.behind_ms > LAGGARD_MS;
+        let is_laggard = |lag: &&FollowerLag| lag.behind_ms > LAGGARD_THRESHOLD_MS;
         let laggards = followers.iter().filter(is_laggard);
         let (copies_running, copies_waiting) = state.feed.copies();
         FeedReport {
@@ -130,7 +130,7 @@
             followers: followers.len(),
             oldest,
             laggards: laggards.clone().count(),
-            named_laggards: laggards.take(MOST_LAGGARDS).cloned().collect(),
+            named_laggards: laggards.take(MAX_NAMED_LAGGARDS).cloned().collect(),
             sent_bytes: self.sent_bytes.load(Relaxed),
             received_bytes: self.received_bytes.load(Relaxed),
             copies_running,
@@ -139,9 +139,9 @@
         }
     }
 
-    /// Sends what changes, and does what is due, for as long as the store lives.
+    /// Sends changes to followers and runs due timers for as long as the store lives.
     fn follow_changes(self: &Arc<Self>, changes: &mpsc::Receiver<Record>) {
-        let mut wait = TICK;
+        let mut wait = TICK_INTERVAL;
         loop {
             let first = match timers::receive(changes, wait) {
                 Ok(record) => Some(record),
@@ -151,7 +151,7 @@
             let now = monotonic_ms();
             let mut state = lock(&self.state);
             for record in first.into_iter().chain(changes.try_iter()) {
-                state.note(&record, now);
+                state.apply_change(&record, now);
             }
             state.index.expire(UnixTime::steady());
             let State { feed, index, .. } = &mut *state;
@@ -159,14 +159,14 @@
             let next = state.feed.next_wakeup().unwrap_or(Ms::MAX);
             self.perform(&mut state);
             drop(state);
-            let until_next = (next - now).clamp(1.0, TICK.as_secs_f64() * 1000.0);
+            let until_next = (next - now).clamp(1.0, TICK_INTERVAL.as_secs_f64() * 1000.0);
             wait = Duration::from_secs_f64(until_next / 1000.0);
         }
     }
 
-    /// The life of a follower's connection.
+    /// Serves a follower's connection until it ends.
     fn serve(self: &Arc<Self>, connection: Arc<Connection>) {
-        // It keeps its place while it says nothing.
+        // Counted as busy for its lifetime, so that an idle follower is not evicted.
         connection.opened();
         let number = SessionNumber(self.next_session.fetch_add(1, Relaxed));
         let session = Arc::new(Session::new(connection.clone()));
@@ -176,8 +176,8 @@
             state.feed.connected(number, monotonic_ms());
             self.perform(&mut state);
         }
-        let end = self.read(number, &connection);
-        if let Err(error) = end.as_ref().map_err(|error| (error.is_closed(), error)) {
+        let result = self.read_messages(number, &connection);
+        if let Err(error) = result.as_ref().map_err(|error| (error.is_closed(), error)) {
             let (is_closed, error) = error;
             if !is_closed {
                 tracing::warn!(%error, "feed: a follower's connection");
@@ -191,12 +191,16 @@
         connection.shut(Shutdown::Both);
     }
 
-    /// Reads what a follower says until it leaves.
-    fn read(self: &Arc<Self>, number: SessionNumber, connection: &Connection) -> Result<(), FramingError> {
+    /// Reads and handles a follower's messages until the connection ends or fails.
+    fn read_messages(
+        self: &Arc<Self>,
+        number: SessionNumber,
+        connection: &Connection,
+    ) -> Result<(), FramingError> {
         loop {
-            let mut socket = connection.patient(READ_STALL);
+            let mut socket = connection.patient(READ_TIMEOUT);
             let received =
-                framing::receive::<FollowerMessage>(self.account(), &mut socket, MOST_FOLLOWER_MESSAGE)?;
+                framing::receive::<FollowerMessage>(self.account(), &mut socket, MAX_FOLLOWER_MESSAGE_BYTES)?;
             self.received_bytes.fetch_add(received.bytes as u64, Relaxed);
             let mut state = lock(&self.state);
             let State { feed, index, .. } = &mut *state;
@@ -206,7 +210,7 @@
         }
     }
 
-    /// Hands out what is to be done, in order; what is written is written by others.
+    /// Performs pending actions in order. Messages are only queued here; writer coroutines send them.
     fn perform(self: &Arc<Self>, state: &mut State) {
         for action in state.feed.actions() {
             match action {
@@ -246,8 +250,8 @@
 }
 
 impl State {
-    /// Takes in a record that newly stands.
-    fn note(&mut self, record: &Record, now: Ms) {
+    /// Updates the index and the feed with a changed record.
+    fn apply_change(&mut self, record: &Record, now: Ms) {
         if !Scope::Configuration.contains(&record.key) {
             return;
         }
--- a/crates/node/src/wire/feed/session.rs
+++ b/crates/node/src/wire/feed/session.rs
@@ -1,4 +1,4 @@
-//! One follower's connection and what is on its way to it.
+//! A follower's connection and its send queue.
 use crate::core::lock;
 use crate::memory::record::Record;
 use crate::memory::room;
@@ -11,53 +11,53 @@
 use std::net::Shutdown;
 use std::sync::Arc;
 
-/// How often, and for how long each time in milliseconds, a message waits for room in the account.
-const ROOM_WAITS: usize = 6;
-const ROOM_WAIT_MS: f64 = 500.0;
+/// Maximum number of waits for free memory in the account per message, and the length of each wait in milliseconds.
+const MAX_MEMORY_WAITS: usize = 6;
+const MEMORY_WAIT_MS: f64 = 500.0;
 
-/// What is to be done with a connection, in order.
-enum Outgoing {
+/// A queued operation on a connection.
+enum QueuedOperation {
     Message(ControlMessage<Record>),
     Close(CloseReason),
 }
 
 #[derive(Default)]
 struct Outbox {
-    queue: VecDeque<Outgoing>,
-    /// A coroutine is writing what is in the queue.
+    queue: VecDeque<QueuedOperation>,
+    /// Whether a coroutine is processing the queue.
     is_writing: bool,
 }
 
-/// A follower's connection. Whoever has something for it leaves that in the outbox, and starts a writer if there is none:
-/// a follower that reads slowly keeps nobody else waiting.
+/// A follower's connection. Messages are queued in the outbox and sent by a writer coroutine that is started on demand, so
+/// that a slow follower does not delay others.
 pub struct Session {
     connection: Arc<Connection>,
     outbox: Mutex<Outbox>,
 }
 
 impl Session {
-    /// The session of a connection.
+    /// Creates the session of a connection.
     pub fn new(connection: Arc<Connection>) -> Self {
         Session { connection, outbox: Mutex::default() }
     }
 
-    /// Queues a message. True where a writer is to be started.
+    /// Queues a message. Returns true if the caller must start a writer.
     pub fn queue(&self, message: ControlMessage<Record>) -> bool {
-        self.push(Outgoing::Message(message))
+        self.push(QueuedOperation::Message(message))
     }
 
-    /// Queues the end of the connection. True where a writer is to be started.
+    /// Queues the end of the connection. Returns true if the caller must start a writer.
     pub fn queue_close(&self, reason: CloseReason) -> bool {
-        self.push(Outgoing::Close(reason))
+        self.push(QueuedOperation::Close(reason))
     }
 
-    fn push(&self, outgoing: Outgoing) -> bool {
+    fn push(&self, operation: QueuedOperation) -> bool {
         let mut outbox = lock(&self.outbox);
-        outbox.queue.push_back(outgoing);
+        outbox.queue.push_back(operation);
         !std::mem::replace(&mut outbox.is_writing, true)
     }
 
-    /// Writes what is queued, until nothing is; returns the bytes sent. After an error nothing is written any more.
+    /// Processes the queue until it is empty and returns the number of bytes sent. After an error no further writer starts.
     pub fn write_queued(&self, account: &Account) -> Result<u64, FramingError> {
         let mut sent_bytes = 0;
         loop {
@@ -69,15 +69,15 @@
             };
             match next {
                 None => return Ok(sent_bytes),
-                Some(Outgoing::Message(message)) => sent_bytes += self.send(account, &message)? as u64,
-                // The message that says so is still to be read.
-                Some(Outgoing::Close(CloseReason::Busy)) => self.connection.shut(Shutdown::Write),
-                Some(Outgoing::Close(_)) => self.end(),
+                Some(QueuedOperation::Message(message)) => sent_bytes += self.send(account, &message)? as u64,
+                // Keeps the read side open so that the follower can still read the message that says so.
+                Some(QueuedOperation::Close(CloseReason::Busy)) => self.connection.shut(Shutdown::Write),
+                Some(QueuedOperation::Close(_)) => self.end(),
             }
         }
     }
 
-    /// Ends the connection; whoever reads on it goes on.
+    /// Shuts the connection down, which also ends its reader.
     pub fn end(&self) {
         self.connection.shut(Shutdown::Both);
     }
@@ -85,12 +85,12 @@
     fn send(&self, account: &Account, message: &ControlMessage<Record>) -> Result<usize, FramingError> {
         let mut waits = 0;
         loop {
-            // A write on the connection waits for the follower by itself.
+            // Writes on the connection have their own timeout while the follower accepts no bytes.
             let mut socket = self.connection.patient(super::server::WRITE_STALL);
             match framing::send(account, &mut socket, message) {
-                Err(FramingError::Full(full)) if waits < ROOM_WAITS => {
+                Err(FramingError::Full(full)) if waits < MAX_MEMORY_WAITS => {
                     waits += 1;
-                    room::wait(&full.account, full.asked, ROOM_WAIT_MS);
+                    room::wait(&full.account, full.asked, MEMORY_WAIT_MS);
                 }
                 end => return end,
             }
--- a/crates/node/src/wire/feed/status.rs
+++ b/crates/node/src/wire/feed/status.rs
@@ -1,4 +1,4 @@
-//! What operators are told of a node's role in the feed.
+//! Status report of a node's role in the distribution of configuration.
 use super::{FeedReport, FeedServer, FollowerHandle, FollowerReport};
 use crate::wire::replicate::Mesh;
 use corkbay_feed::{FollowerLag, FollowerStage, FollowerState};
@@ -6,35 +6,35 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// A node's part in the distribution of configuration.
+/// A node's role in the distribution of configuration.
 #[derive(Default)]
 pub struct Role {
-    /// The peers that it shares its records with, where there are any.
+    /// Replication with the node's peers, if it has any.
     pub mesh: Option<Arc<Mesh>>,
-    /// What is done besides.
+    /// Its role in the feed.
     pub feed: FeedRole,
 }
 
-/// A node's side of the feed.
+/// A node's role in the feed.
 #[derive(Default)]
 pub enum FeedRole {
-    /// None.
+    /// The node takes no part in the feed.
     #[default]
     Off,
-    /// It serves the feed.
+    /// The node serves the feed.
     Control(Arc<FeedServer>),
-    /// It follows a control node.
+    /// The node follows a control node.
     Follower(FollowerHandle),
 }
 
-/// Configuration that can't be changed at a follower.
+/// Marks configuration as read-only on a follower.
 pub struct ReadOnly {
-    /// Where it can, if that is known.
+    /// The address where configuration can be changed, if known.
     pub control_api: Option<SocketAddr>,
 }
 
 impl Role {
-    /// Whether, and why, functions and workers can't be changed here.
+    /// Set if functions and workers can't be changed on this node.
     pub fn read_only(&self) -> Option<ReadOnly> {
         match &self.feed {
             FeedRole::Follower(follower) => Some(ReadOnly { control_api: follower.control_api() }),
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The report of a control node's feed.
+    /// The report of the feed, on a control node.
     pub fn feed_report(&self) -> Option<FeedReport> {
         match &self.feed {
             FeedRole::Control(server) => Some(server.report()),
@@ -50,7 +50,7 @@
         }
     }
 
-    /// The report of a follower.
+    /// The report of the follower, on a follower.
     pub fn follower_report(&self) -> Option<FollowerReport> {
         match &self.feed {
             FeedRole::Follower(follower) => Some(follower.report()),
@@ -58,12 +58,12 @@
         }
     }
 
-    /// Whether this node has a whole configuration, which only a follower may lack.
+    /// Whether this node has a complete configuration. Only a follower may lack one.
     pub fn is_ready(&self) -> bool {
         is_ready(self.follower_report().as_ref())
     }
 
-    /// Adds what there is to tell to a node's status.
+    /// Adds the role's entries to a node's status.
     pub fn add_status(&self, status: &mut Value) {
         if let Some(mesh) = &self.mesh {
             status["replication"] = json!({ "sent_bytes": mesh.sent_bytes() });
@@ -79,7 +79,7 @@
     }
 }
 
-/// Whether a node has a whole configuration, by its report if it follows.
+/// Whether a node has a complete configuration; `follower` is its report if it is a follower.
 fn is_ready(follower: Option<&FollowerReport>) -> bool {
     follower.is_none_or(FollowerReport::is_ready)
 }
