--- a/crates/node/src/wire/accept.rs
+++ b/crates/node/src/wire/accept.rs
@@ -181,8 +181,8 @@
     pub fn drain(&self) {
         for clients in [&self.clients, &self.beyond_limit] {
             // Dropped after the table is unlocked, since dropping a connection locks the table.
-            let mut looked_at = Vec::new();
-            let idle = lock(clients).drain(|connection| is_in_use(connection, &mut looked_at));
+            let mut kept_alive = Vec::new();
+            let idle = lock(clients).drain(|connection| is_in_use(connection, &mut kept_alive));
             idle.iter().filter_map(Weak::upgrade).for_each(|connection| connection.shut(Shutdown::Read));
         }
     }
@@ -231,8 +231,8 @@
     /// Closes a connection without unanswered requests and unread bytes, if there is one.
     fn evict_idle(&self, clients: &SharedClientTable) -> Result<(), NoneIdle> {
         // Dropped after the table is unlocked, since dropping a connection locks the table.
-        let mut looked_at = Vec::new();
-        let evicted = lock(clients).evict_idle(|connection| is_in_use(connection, &mut looked_at));
+        let mut kept_alive = Vec::new();
+        let evicted = lock(clients).evict_idle(|connection| is_in_use(connection, &mut kept_alive));
         if let Some(evicted) = evicted?.upgrade() {
             evicted.shut(Shutdown::Read);
         }
@@ -309,12 +309,12 @@
 }
 
 /// Whether a connection has unread bytes, its reader is still processing what it read, or it was accepted only to be refused
-/// and its request may still arrive. The connection is added to `looked_at` for the caller to drop, since this may be the
+/// and its request may still arrive. The connection is added to `kept_alive` for the caller to drop, since this may be the
 /// last reference to it.
-fn is_in_use(connection: &Weak<Connection>, looked_at: &mut Vec<Arc<Connection>>) -> bool {
+fn is_in_use(connection: &Weak<Connection>, kept_alive: &mut Vec<Arc<Connection>>) -> bool {
     let Some(connection) = connection.upgrade() else { return false };
     let is_in_use = connection.has_unused() || connection.is_awaiting_refused_request();
-    looked_at.push(connection);
+    kept_alive.push(connection);
     is_in_use
 }
 
--- a/crates/node/src/wire/channel.rs
+++ b/crates/node/src/wire/channel.rs
@@ -168,15 +168,15 @@
 
 /// Reads the channel for as long as the process lives. It reconnects whenever the connection ends: at once if that brought
 /// events or the address changed, otherwise after a backoff delay.
-pub fn follow(invoker: &Arc<Invoker>, line: &Line, mut cursor: u64) {
+pub fn follow(invoker: &Arc<Invoker>, channel: &Line, mut cursor: u64) {
     let (mut backoff, mut contact) = (Redial::default(), Contact::default());
     loop {
-        let (cursor_before, address) = (cursor, line.address());
+        let (cursor_before, address) = (cursor, channel.address());
         invoker.counters.channel_calls.add();
-        if let Err(error) = read_events(invoker, line, address, &mut cursor, &mut contact) {
+        if let Err(error) = read_events(invoker, channel, address, &mut cursor, &mut contact) {
             tracing::warn!(%error, "command channel");
         }
-        if cursor == cursor_before && line.address() == address {
+        if cursor == cursor_before && channel.address() == address {
             let pause = backoff.pause(rand::random());
             timers::sleep(Duration::from_secs_f64(pause / 1000.0));
         } else {
@@ -187,13 +187,13 @@
 
 fn read_events(
     invoker: &Arc<Invoker>,
-    line: &Line,
+    channel: &Line,
     address: SocketAddr,
     cursor: &mut u64,
     contact: &mut Contact,
 ) -> io::Result<()> {
     let socket = Arc::new(Socket::connect(&address, CONNECT_TIMEOUT, SILENCE_TIMEOUT)?);
-    if !line.set_connection(address, &socket) {
+    if !channel.set_connection(address, &socket) {
         return Ok(());
     }
     let request = format!(
@@ -207,7 +207,7 @@
             break;
         }
         let events = stream.feed(&chunk[..size]).map_err(io::Error::other)?;
-        line.received.store(true, Ordering::Release);
+        channel.received.store(true, Ordering::Release);
         contact.heard(monotonic_ms());
         for event in events {
             let news: Result<News, _> = serde_json::from_str(&event.data);
