--- a/crates/node/src/wire/replicate/error.rs
+++ b/crates/node/src/wire/replicate/error.rs
@@ -13,7 +13,7 @@
     #[error(transparent)]
     Store(#[from] StoreError),
     /// The other node uses a protocol version before 2.
-    #[error("the other node uses an earlier version of the replication protocol and must be upgraded")]
+    #[error("the other node uses an earlier version of the replication protocol and must be brought up to this one")]
     EarlierVersion,
     /// The other node closed the connection instead of replying to the greeting.
     #[error("the other node closed the connection during the greeting, as nodes of an earlier version do")]
