--- a/crates/jobs/src/maintenance.rs
+++ b/crates/jobs/src/maintenance.rs
@@ -1,29 +1,29 @@
-//! Rolling maintenance: drain these workers, so many at a time and never more than a part of a zone, wait until each is
-//! empty, wait until it is back and warm, go on.
+//! Rolling maintenance: drains a limited number of workers at a time, and never more than a given percentage of
+//! a zone. Waits until each is empty, then until it has restarted and is warm, and goes on with the next.
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// How far a worker's maintenance has come.
+/// The maintenance phase of a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
-    /// Nothing was done yet.
+    /// Maintenance has not started.
     Waiting,
-    /// It is told to take no more calls.
+    /// The worker is told to take no more calls.
     Draining,
-    /// No call is out there: it may be worked on.
+    /// The worker has no outstanding calls and may be worked on.
     Empty,
-    /// It is back, takes calls, and is not warm yet.
+    /// The worker has restarted and takes calls, but is not warm yet.
     Warming,
-    /// It is back and warm.
+    /// The worker has restarted and is warm.
     Done,
-    /// It was let back unworked on, for the job was aborted, or was never touched.
+    /// The job was aborted: the worker was returned to service without maintenance, or never drained.
     LetBack,
 }
 
 impl Phase {
-    /// Whether the fleet lacks it, in whole or in part, on behalf of the job.
-    pub fn is_out(self) -> bool {
+    /// Whether the job takes the worker out of service, in whole or in part.
+    pub fn is_out_of_service(self) -> bool {
         matches!(self, Phase::Draining | Phase::Empty | Phase::Warming)
     }
 
@@ -32,127 +32,130 @@
     }
 }
 
-/// What the operators want of a job.
+/// The state that the operators want a job to be in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Wish {
-    /// To go on.
+pub enum DesiredState {
+    /// Run, or resume.
     Run,
-    /// To begin with no other worker; those that are out come back as usual.
+    /// Start no further worker; those that are out of service are finished as usual.
     Pause,
-    /// To let back at once whatever is out. It is final.
+    /// Return workers that wait, drain or are empty to service at once. This is final.
     Abort,
 }
 
-/// What changes a job, once it was agreed.
+/// A change of a job, applied once it is committed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Event {
     /// A worker enters a phase.
     Enters {
-        /// The worker.
+        /// The worker's name.
         worker: String,
-        /// The phase.
+        /// The new phase.
         phase: Phase,
     },
-    /// The operators want something else.
-    Wishes(Wish),
+    /// The operators set another desired state.
+    Wishes(DesiredState),
 }
 
-/// An event that does not fit; the job is as it was.
+/// Why an event was rejected; the job is unchanged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[serde(rename_all = "snake_case")]
 pub enum Refused {
-    /// The job has no such worker.
-    #[error("no such worker")]
+    /// The job or worker does not exist.
+    #[error("no such job or worker")]
     Unknown,
-    /// The worker is not where it would have to be: another owner was faster, or this one is late.
-    #[error("the worker is elsewhere by now")]
+    /// The event does not follow from the current state: another owner was faster, or the proposing owner acted
+    /// on an old state.
+    #[error("the event does not follow from the current state")]
     OutOfTurn,
-    /// As many workers are out as may be.
-    #[error("as many workers are out as may be")]
+    /// The limit of workers out of service, overall or for the zone, is reached.
+    #[error("the limit of workers out of service is reached")]
     Bound,
-    /// The job does not run.
-    #[error("the job does not run")]
+    /// The job is paused, aborted or finished.
+    #[error("the job is not running")]
     NotRunning,
 }
 
-/// Why there can be no such job.
+/// Why a job cannot be created.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Impossible {
-    /// No worker is named.
-    #[error("no worker is named")]
-    Nothing,
-    /// None may be out at a time.
+pub enum InvalidJob {
+    /// The job has no workers.
+    #[error("the job names no workers")]
+    NoWorkers,
+    /// The maximum number of workers out of service is 0.
     #[error("at_once must be 1 or more")]
-    NoneAtOnce,
-    /// The part of a zone is less than one of its workers.
+    ZeroAtOnce,
+    /// The permitted percentage of a zone is less than one worker.
     #[error("zone {zone} has {size} workers, of which {percent}% is less than one")]
-    Zone {
+    ZoneTooSmall {
         /// The zone.
         zone: String,
-        /// Its workers.
+        /// Number of workers in the zone.
         size: u32,
-        /// The part.
+        /// Maximum percentage of the zone's workers out of service.
         percent: u8,
     },
 }
 
-/// A worker as its owner sees it.
+/// A worker's status as observed by the job's owner.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Seen {
-    /// Calls that are out there, of all nodes; none if that is not known.
-    pub out: Option<u32>,
-    /// It was started anew since it was drained, and answers.
-    pub back: bool,
-    /// It is warm.
+pub struct WorkerStatus {
+    /// Calls outstanding on the worker, summed over all nodes; `None` if unknown.
+    pub outstanding_calls: Option<u32>,
+    /// The worker has restarted since it was drained, and answers.
+    pub restarted: bool,
+    /// The worker is warm.
     pub warm: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-struct Place {
+struct WorkerState {
     zone: String,
     phase: Phase,
 }
 
-/// One job: a pure function of its events in their order.
+/// One maintenance job; its state depends only on the sequence of applied events.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Job {
-    workers: BTreeMap<String, Place>,
-    /// How many workers each zone has, those that the job does not name included.
+    workers: BTreeMap<String, WorkerState>,
+    /// Total number of workers per zone, including those that the job does not name.
     zones: BTreeMap<String, u32>,
     at_once: u32,
     percent: u8,
-    wish: Wish,
+    wish: DesiredState,
 }
 
 impl Job {
-    /// A job over workers with their zones; `zones` tells how many workers each zone has in all.
+    /// Creates a job for `workers`, given as pairs of name and zone. `zones` has the total number of workers
+    /// per zone, `at_once` is the maximum number of workers out of service, and `percent` the maximum
+    /// percentage of a zone.
     ///
     /// # Errors
-    /// See [`Impossible`].
+    /// See [`InvalidJob`].
     pub fn new(
         workers: impl IntoIterator<Item = (String, String)>,
         zones: BTreeMap<String, u32>,
         at_once: u32,
         percent: u8,
-    ) -> Result<Self, Impossible> {
-        let place = |(name, zone)| (name, Place { zone, phase: Phase::Waiting });
+    ) -> Result<Self, InvalidJob> {
+        let state = |(name, zone)| (name, WorkerState { zone, phase: Phase::Waiting });
         let job = Job {
-            workers: workers.into_iter().map(place).collect(),
+            workers: workers.into_iter().map(state).collect(),
             zones,
             at_once,
             percent,
-            wish: Wish::Run,
+            wish: DesiredState::Run,
         };
         if job.workers.is_empty() {
-            return Err(Impossible::Nothing);
+            return Err(InvalidJob::NoWorkers);
         }
         if at_once == 0 {
-            return Err(Impossible::NoneAtOnce);
+            return Err(InvalidJob::ZeroAtOnce);
         }
-        match job.workers.values().find(|place| job.bound(&place.zone) == 0) {
-            Some(Place { zone, .. }) => Err(Impossible::Zone {
+        match job.workers.values().find(|state| job.zone_limit(&state.zone) == 0) {
+            Some(WorkerState { zone, .. }) => Err(InvalidJob::ZoneTooSmall {
                 zone: zone.clone(),
                 size: job.zones.get(zone).copied().unwrap_or(0),
                 percent,
@@ -161,73 +164,78 @@
         }
     }
 
-    /// How many workers of a zone may be out.
-    pub fn bound(&self, zone: &str) -> u32 {
+    /// Maximum number of a zone's workers that may be out of service.
+    pub fn zone_limit(&self, zone: &str) -> u32 {
         self.zones.get(zone).map_or(0, |size| size * u32::from(self.percent.min(100)) / 100)
     }
 
-    /// Workers that are out, of one zone or of all.
-    pub fn out(&self, zone: Option<&str>) -> u32 {
-        let counts = |place: &&Place| place.phase.is_out() && zone.is_none_or(|zone| zone == place.zone);
-        self.workers.values().filter(counts).count() as u32
+    /// Number of workers out of service, in one zone or overall.
+    pub fn out_of_service(&self, zone: Option<&str>) -> u32 {
+        let is_counted = |state: &&WorkerState| {
+            state.phase.is_out_of_service() && zone.is_none_or(|zone| zone == state.zone)
+        };
+        self.workers.values().filter(is_counted).count() as u32
     }
 
-    /// The workers, with how far each has come.
+    /// Iterates over the workers and their phases.
     pub fn phases(&self) -> impl Iterator<Item = (&str, Phase)> {
-        self.workers.iter().map(|(name, place)| (name.as_str(), place.phase))
+        self.workers.iter().map(|(name, state)| (name.as_str(), state.phase))
     }
 
-    /// What the operators want.
-    pub fn wish(&self) -> Wish {
+    /// Returns the state that the operators want.
+    pub fn desired_state(&self) -> DesiredState {
         self.wish
     }
 
-    /// Whether nothing is left to do.
+    /// Whether every worker is finished.
     pub fn is_over(&self) -> bool {
-        self.workers.values().all(|place| place.phase.is_over())
+        self.workers.values().all(|state| state.phase.is_over())
     }
 
-    /// Carries an agreed event out.
+    /// Applies a committed event.
     ///
     /// # Errors
-    /// See [`Refused`]; nothing has changed then.
+    /// See [`Refused`]; the job is then unchanged.
     pub fn apply(&mut self, event: &Event) -> Result<(), Refused> {
         match event {
-            Event::Wishes(_) if self.wish == Wish::Abort || self.is_over() => Err(Refused::NotRunning),
+            Event::Wishes(_) if self.wish == DesiredState::Abort || self.is_over() => {
+                Err(Refused::NotRunning)
+            }
             Event::Wishes(wish) => {
                 self.wish = *wish;
                 Ok(())
             }
             Event::Enters { worker, phase } => {
-                let place = self.workers.get(worker).ok_or(Refused::Unknown)?;
-                let fits = match (place.phase, phase) {
+                let state = self.workers.get(worker).ok_or(Refused::Unknown)?;
+                let is_allowed = match (state.phase, phase) {
                     (Phase::Waiting, Phase::Draining) => {
-                        self.may_begin(&place.zone)?;
+                        self.check_limits(&state.zone)?;
                         true
                     }
                     (Phase::Draining, Phase::Empty) | (Phase::Empty, Phase::Warming) => {
-                        self.wish != Wish::Abort
+                        self.wish != DesiredState::Abort
                     }
                     (Phase::Warming, Phase::Done) => true,
                     (Phase::Waiting | Phase::Draining | Phase::Empty, Phase::LetBack) => {
-                        self.wish == Wish::Abort
+                        self.wish == DesiredState::Abort
                     }
                     _ => false,
                 };
-                if !fits {
+                if !is_allowed {
                     return Err(Refused::OutOfTurn);
                 }
-                self.workers.entry(worker.clone()).and_modify(|place| place.phase = *phase);
+                self.workers.entry(worker.clone()).and_modify(|state| state.phase = *phase);
                 Ok(())
             }
         }
     }
 
-    fn may_begin(&self, zone: &str) -> Result<(), Refused> {
-        if self.wish != Wish::Run {
+    fn check_limits(&self, zone: &str) -> Result<(), Refused> {
+        if self.wish != DesiredState::Run {
             return Err(Refused::NotRunning);
         }
-        let full = self.out(None) >= self.at_once || self.out(Some(zone)) >= self.bound(zone);
+        let full = self.out_of_service(None) >= self.at_once
+            || self.out_of_service(Some(zone)) >= self.zone_limit(zone);
         if full {
             Err(Refused::Bound)
         } else {
@@ -235,27 +243,35 @@
         }
     }
 
-    /// What is due, by what the owner sees of the fleet; to be agreed in this order. `lacking` tells how many workers of
-    /// a zone are missing for reasons of their own: the job waits for them.
-    pub fn next(&self, seen: impl Fn(&str) -> Seen, lacking: impl Fn(&str) -> u32) -> Vec<Event> {
-        // What is let back or done makes room for the next only once that was agreed.
-        let mut then = self.clone();
+    /// Returns the events that are due, given the status of the workers; commit them in this order.
+    /// `unavailable` returns the number of a zone's workers that are missing for other reasons; they count
+    /// against the zone's limit.
+    pub fn next_events(
+        &self,
+        worker_status: impl Fn(&str) -> WorkerStatus,
+        unavailable: impl Fn(&str) -> u32,
+    ) -> Vec<Event> {
+        // A worker that is done or let back frees its slot only once that event is committed.
+        let mut projected = self.clone();
         let mut events = Vec::new();
-        for (worker, place) in &self.workers {
-            let Seen { out, back, warm } = seen(worker);
-            let phase = match place.phase {
-                Phase::Waiting | Phase::Draining | Phase::Empty if self.wish == Wish::Abort => Phase::LetBack,
-                Phase::Draining if out == Some(0) => Phase::Empty,
-                Phase::Empty if back => Phase::Warming,
+        for (worker, state) in &self.workers {
+            let WorkerStatus { outstanding_calls, restarted, warm } = worker_status(worker);
+            let phase = match state.phase {
+                Phase::Waiting | Phase::Draining | Phase::Empty if self.wish == DesiredState::Abort => {
+                    Phase::LetBack
+                }
+                Phase::Draining if outstanding_calls == Some(0) => Phase::Empty,
+                Phase::Empty if restarted => Phase::Warming,
                 Phase::Warming if warm => Phase::Done,
                 _ => continue,
             };
             events.push(Event::Enters { worker: worker.clone(), phase });
         }
-        for (worker, place) in self.workers.iter().filter(|(_, place)| place.phase == Phase::Waiting) {
+        for (worker, state) in self.workers.iter().filter(|(_, state)| state.phase == Phase::Waiting) {
             let event = Event::Enters { worker: worker.clone(), phase: Phase::Draining };
-            let room = then.out(Some(&place.zone)) + lacking(&place.zone) < then.bound(&place.zone);
-            if room && then.apply(&event).is_ok() {
+            let room = projected.out_of_service(Some(&state.zone)) + unavailable(&state.zone)
+                < projected.zone_limit(&state.zone);
+            if room && projected.apply(&event).is_ok() {
                 events.push(event);
             }
         }
--- a/crates/quorum/src/disk.rs
+++ b/crates/quorum/src/disk.rs
@@ -1,49 +1,50 @@
-//! Where a journal stands.
+//! Storage for the journal.
 use std::fs::{File, OpenOptions};
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
 
-/// One file that grows at its end and is replaced as a whole.
+/// A file that is appended to, or replaced as a whole.
 pub trait Disk {
-    /// All that stands there; empty where nothing was written yet.
+    /// Reads the whole file; empty if nothing has been written.
     ///
     /// # Errors
-    /// As the medium's.
+    /// The I/O error of the storage medium.
     fn load(&mut self) -> io::Result<Vec<u8>>;
-    /// Adds at the end. It may be lost in a crash, in part or in whole, until it is synced.
+    /// Appends bytes. Until the next [`Disk::sync`], a crash may lose all or part of them.
     ///
     /// # Errors
-    /// As the medium's. What was added may then stand in part.
+    /// The I/O error of the storage medium; part of the bytes may have been written.
     fn append(&mut self, bytes: &[u8]) -> io::Result<()>;
-    /// Returns once all that was added survives a crash.
+    /// Returns once all appended bytes are durable.
     ///
     /// # Errors
-    /// As the medium's. What was added since the last sync may then be lost, and syncing again proves nothing.
+    /// The I/O error of the storage medium. Bytes appended since the last successful sync may be lost, and a
+    /// later successful sync does not prove otherwise.
     fn sync(&mut self) -> io::Result<()>;
-    /// Puts other content in the place of all that stands there, at once or not at all, and synced.
+    /// Atomically replaces the whole content and syncs it.
     ///
     /// # Errors
-    /// As the medium's. The old content then stands.
+    /// The I/O error of the storage medium; the old content is kept.
     fn replace(&mut self, bytes: &[u8]) -> io::Result<()>;
 }
 
-/// A file in a folder of its own.
+/// A journal file in a directory of its own.
 pub struct FileDisk {
     folder: PathBuf,
     file: File,
 }
 
-const NAME: &str = "quorum.journal";
-const NEXT: &str = "quorum.journal.next";
+const JOURNAL_FILE: &str = "quorum.journal";
+const TEMPORARY_FILE: &str = "quorum.journal.next";
 
 impl FileDisk {
-    /// The journal's file in that folder, made where there is none.
+    /// Opens the journal file in that directory, creating both if they are missing.
     ///
     /// # Errors
-    /// As the file system's.
+    /// The I/O error of the file system.
     pub fn open(folder: &Path) -> io::Result<Self> {
         std::fs::create_dir_all(folder)?;
-        let file = OpenOptions::new().read(true).append(true).create(true).open(folder.join(NAME))?;
+        let file = OpenOptions::new().read(true).append(true).create(true).open(folder.join(JOURNAL_FILE))?;
         File::open(folder)?.sync_all()?;
         Ok(FileDisk { folder: folder.to_path_buf(), file })
     }
@@ -52,7 +53,7 @@
 impl Disk for FileDisk {
     fn load(&mut self) -> io::Result<Vec<u8>> {
         let mut bytes = Vec::new();
-        File::open(self.folder.join(NAME))?.read_to_end(&mut bytes)?;
+        File::open(self.folder.join(JOURNAL_FILE))?.read_to_end(&mut bytes)?;
         Ok(bytes)
     }
 
@@ -65,13 +66,13 @@
     }
 
     fn replace(&mut self, bytes: &[u8]) -> io::Result<()> {
-        let next = self.folder.join(NEXT);
-        let mut file = File::create(&next)?;
+        let temporary = self.folder.join(TEMPORARY_FILE);
+        let mut file = File::create(&temporary)?;
         file.write_all(bytes)?;
         file.sync_all()?;
-        std::fs::rename(&next, self.folder.join(NAME))?;
+        std::fs::rename(&temporary, self.folder.join(JOURNAL_FILE))?;
         File::open(&self.folder)?.sync_all()?;
-        self.file = OpenOptions::new().append(true).open(self.folder.join(NAME))?;
+        self.file = OpenOptions::new().append(true).open(self.folder.join(JOURNAL_FILE))?;
         Ok(())
     }
 }
--- a/crates/quorum/src/lib.rs
+++ b/crates/quorum/src/lib.rs
@@ -1,32 +1,35 @@
-//! What must not diverge between nodes, agreed by a majority of them.
+//! State that must not diverge between nodes, replicated by majority agreement.
 //!
-//! [`Replica`] is one node's part in it: a state machine without sockets, threads or clocks round the `raft` crate. It is
-//! told of ticks, messages and proposals, and tells what is to be sent and what was agreed. A change is told as applied
-//! only after a majority had it on disk. [`Registry`] is what is agreed on: records, and the leases of
-//! [`corkbay_tenure`], under whose terms records can be fenced. [`Disk`] is where a replica's [`journal`] stands.
+//! [`Replica`] is one node's Raft replica: a state machine without sockets, threads or clocks around the `raft`
+//! crate. It takes ticks, messages and proposals, and outputs messages to send and committed changes. A change
+//! is reported as applied only after a majority has it on disk. [`Registry`] is the replicated state: records,
+//! jobs, and the leases of [`corkbay_tenure`], whose terms can fence writes to records. [`Disk`] stores a
+//! replica's [`journal`].
 pub mod disk;
 pub mod journal;
+mod raft_storage;
 mod registry;
 mod replica;
-mod shelf;
 
 pub use disk::{Disk, FileDisk};
-pub use registry::{lease_of, Answer, Change, Registry};
-pub use replica::{Config, Member, NotProposed, OpenError, Output, Replica, Standing, Start, Ticket};
+pub use registry::{job_lease_name, Answer, Change, Registry};
+pub use replica::{
+    Config, MembershipChange, OpenError, OperationId, Output, ProposeError, Replica, Start, Status,
+};
 
-/// Parts that can be left out, to see that simulation and model find it.
+/// Faults that tests inject, to verify that the simulation detects them.
 #[cfg(feature = "planted")]
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Planted {
-    /// Nothing is left out.
+pub enum InjectedFault {
+    /// No fault.
     #[default]
-    Nothing,
-    /// Messages go out before what they promise is on disk.
-    SendsBeforeSync,
-    /// A vote is not written down.
-    ForgetsVotes,
-    /// Reads are answered without asking a majority who leads.
-    ReadsLocally,
-    /// Writes under a term are not fenced.
-    NoFence,
+    None,
+    /// Messages are sent before the state that they acknowledge is durable.
+    SendBeforeSync,
+    /// Votes are not persisted.
+    UnpersistedVote,
+    /// Reads are answered without confirming leadership with a majority.
+    LocalRead,
+    /// Writes under a lease term are not fenced.
+    NoFencing,
 }
--- a/crates/quorum/src/registry.rs
+++ b/crates/quorum/src/registry.rs
@@ -1,96 +1,98 @@
-//! What is agreed on: records by key, leases, and jobs.
-use corkbay_jobs::maintenance::{Event, Job, Refused, Wish};
-use corkbay_tenure::{Book, Command, Owner, Reply, Stale, Term};
+//! The replicated state machine: key-value records, leases and jobs.
+use corkbay_jobs::maintenance::{DesiredState, Event, Job, Refused};
+use corkbay_tenure::{Command, LeaseTable, Owner, Reply, Stale, Term};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A change that the nodes agree on.
+/// A change that is replicated through the Raft log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Change {
-    /// Another value for a key; none removes it.
+    /// Sets the value of a key, or removes the key if the value is `None`.
     Put {
         /// The key.
         key: String,
         /// The value.
         value: Option<String>,
     },
-    /// The same on behalf of the fleet, by the holder of a name: refused once its term is over.
+    /// Like [`Change::Put`], made on behalf of the whole fleet by the holder of a lease: rejected once its term
+    /// is over.
     PutUnder {
-        /// The name.
+        /// The name of the lease.
         name: String,
-        /// Its holder.
+        /// The lease holder.
         owner: Owner,
-        /// The holder's term.
+        /// The holder's lease term.
         term: Term,
         /// The key.
         key: String,
         /// The value.
         value: Option<String>,
     },
-    /// A change of leases.
+    /// A command on leases.
     Lease(Command),
-    /// A new job, by the operators; refused where one of that name is not over yet.
+    /// Starts a job for the operators; rejected if a job of that name has not finished.
     Begin {
-        /// Its name.
+        /// The job's name.
         job: String,
-        /// What is to be done.
+        /// The job to start.
         plan: Job,
     },
-    /// The operators want a job to go on, to pause or to end.
+    /// Sets the state that the operators want the job to be in.
     Wish {
-        /// The job.
+        /// The job's name.
         job: String,
-        /// What they want.
-        wish: Wish,
+        /// The desired state.
+        wish: DesiredState,
     },
-    /// A step of a job, by whoever holds [`lease_of`] it: refused once the term is over.
+    /// Applies an event to a job, proposed by the holder of the lease [`job_lease_name`]: rejected once its
+    /// term is over.
     Step {
-        /// The job.
+        /// The job's name.
         job: String,
-        /// Its owner.
+        /// The owner of the job, which holds its lease.
         owner: Owner,
-        /// The owner's term.
+        /// The owner's lease term.
         term: Term,
-        /// The step.
+        /// The event.
         event: Event,
     },
 }
 
-/// The name of the lease under which a job's steps are taken.
-pub fn lease_of(job: &str) -> String {
+/// The name of the lease that fences the steps of a job.
+pub fn job_lease_name(job: &str) -> String {
     format!("job/{job}")
 }
 
-/// What became of a change.
+/// The result of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Answer {
-    /// It was made.
+    /// The change was applied.
     Done,
-    /// It was not made: the term is over.
+    /// The change was not applied: the lease term is over.
     Stale(Stale),
-    /// What the leases say.
+    /// The result of a lease command.
     Lease(Reply),
-    /// It does not fit the job as it is by now.
+    /// The change was not applied: it does not fit the job's current state.
     Refused(Refused),
 }
 
-/// The agreed state; a pure function of the changes in their order.
+/// The replicated state; it depends only on the sequence of applied changes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Registry {
     records: BTreeMap<String, String>,
-    leases: Book,
+    leases: LeaseTable,
     jobs: BTreeMap<String, Job>,
 }
 
 impl Registry {
-    /// Makes a change.
+    /// Applies a committed change.
     pub fn apply(&mut self, change: Change) -> Answer {
         match change {
             Change::Put { key, value } => self.put(key, value),
             Change::PutUnder { name, owner, term, key, value } => {
-                match self.leases.admits(&name, owner, term) {
+                match self.leases.check_fence(&name, owner, term) {
                     Ok(()) => self.put(key, value),
                     Err(stale) => Answer::Stale(stale),
                 }
@@ -105,7 +107,7 @@
             },
             Change::Wish { job, wish } => self.step(&job, &Event::Wishes(wish)),
             Change::Step { job, owner, term, event } => {
-                match self.leases.admits(&lease_of(&job), owner, term) {
+                match self.leases.check_fence(&job_lease_name(&job), owner, term) {
                     Ok(()) => self.step(&job, &event),
                     Err(stale) => Answer::Stale(stale),
                 }
@@ -134,28 +136,28 @@
         Answer::Done
     }
 
-    /// The value of a key.
+    /// Returns the value of a key.
     pub fn get(&self, key: &str) -> Option<&str> {
         self.records.get(key).map(String::as_str)
     }
 
-    /// All records, by key.
+    /// Iterates over all records, ordered by key.
     pub fn records(&self) -> impl Iterator<Item = (&str, &str)> {
         self.records.iter().map(|(key, value)| (key.as_str(), value.as_str()))
     }
 
-    /// A job, if there ever was one of that name.
+    /// Returns a job by name, finished or not; `None` if none of that name was ever started.
     pub fn job(&self, name: &str) -> Option<&Job> {
         self.jobs.get(name)
     }
 
-    /// All jobs, by name.
+    /// Iterates over all jobs, ordered by name.
     pub fn jobs(&self) -> impl Iterator<Item = (&str, &Job)> {
         self.jobs.iter().map(|(name, job)| (name.as_str(), job))
     }
 
-    /// The leases.
-    pub fn leases(&self) -> &Book {
+    /// Returns the lease table.
+    pub fn leases(&self) -> &LeaseTable {
         &self.leases
     }
 }
--- a/crates/quorum/tests/alone.rs
+++ b/crates/quorum/tests/alone.rs
@@ -1,76 +1,86 @@
-//! One replica on a real file: it is a majority of one, starts again from its journal, and knows when it must not.
+//! A single replica on a real file: it is a majority of one, restarts from its journal, and refuses to start
+//! when that is unsafe.
 use corkbay_quorum::{
-    Answer, Change, Config, Disk, FileDisk, Member, NotProposed, OpenError, Output, Replica, Start, Ticket,
+    Answer, Change, Config, Disk, FileDisk, MembershipChange, OpenError, OperationId, Output, ProposeError,
+    Replica, Start,
 };
 use std::io;
 use std::path::Path;
 
-fn config(node: u64, life: u64) -> Config {
-    Config { node, election: 4, heartbeat: 1, compact: 10, seed: 7, life, planted: Default::default() }
+fn config(node: u64, incarnation: u64) -> Config {
+    Config {
+        node,
+        election_ticks: 4,
+        heartbeat_ticks: 1,
+        compact_after_entries: 10,
+        seed: 7,
+        incarnation,
+        injected_fault: Default::default(),
+    }
 }
 
-fn open(folder: &Path, node: u64, life: u64, start: Start) -> Result<Replica<FileDisk>, OpenError> {
-    Replica::open(config(node, life), start, FileDisk::open(folder).expect("a folder"))
+fn open(folder: &Path, node: u64, incarnation: u64, start: Start) -> Result<Replica<FileDisk>, OpenError> {
+    Replica::open(config(node, incarnation), start, FileDisk::open(folder).expect("a directory"))
 }
 
-/// Ticks until it leads.
-fn lead<D: Disk>(replica: &mut Replica<D>) {
+/// Ticks until the replica is elected leader.
+fn elect<D: Disk>(replica: &mut Replica<D>) {
     for _ in 0..20 {
         replica.tick();
     }
-    assert!(replica.outputs().contains(&Output::Leading(true)), "alone, it leads");
+    assert!(replica.take_outputs().contains(&Output::LeadershipChanged(true)), "a single node elects itself");
 }
 
 fn put(value: &str) -> Change {
     Change::Put { key: "w1".into(), value: Some(value.into()) }
 }
 
-/// Guards what was acknowledged over many starts, snapshots among them.
+/// Guards acknowledged changes across restarts, some of them from a snapshot.
 #[test]
-fn one_node_alone_agrees_with_itself_and_starts_again() {
-    let folder = tempfile::tempdir().expect("a folder");
-    for life in 1..=8u64 {
-        let start = if life == 1 { Start::Founder(vec![1]) } else { Start::Again };
-        let mut replica = open(folder.path(), 1, life, start).expect("starts");
-        lead(&mut replica);
-        let before = (life > 1).then(|| (life - 1).to_string());
+fn a_single_node_commits_alone_and_restarts_from_its_journal() {
+    let folder = tempfile::tempdir().expect("a directory");
+    for incarnation in 1..=8u64 {
+        let start = if incarnation == 1 { Start::Bootstrap(vec![1]) } else { Start::Restart };
+        let mut replica = open(folder.path(), 1, incarnation, start).expect("starts");
+        elect(&mut replica);
+        let before = (incarnation > 1).then(|| (incarnation - 1).to_string());
         assert_eq!(replica.registry().get("w1"), before.as_deref());
         for number in 1..=4 {
-            replica.propose(Ticket(number), &put(&life.to_string())).expect("it leads");
-            let made = Output::Made { ticket: Ticket(number), answer: Answer::Done };
-            assert!(replica.outputs().contains(&made), "agreed at once, alone");
+            replica.propose(OperationId(number), &put(&incarnation.to_string())).expect("it is the leader");
+            let applied = Output::Applied { operation_id: OperationId(number), result: Answer::Done };
+            assert!(replica.take_outputs().contains(&applied), "a single node commits at once");
         }
-        replica.read(Ticket(5)).expect("it leads");
-        assert!(replica.outputs().contains(&Output::Readable { ticket: Ticket(5) }));
+        replica.read(OperationId(5)).expect("it is the leader");
+        assert!(replica.take_outputs().contains(&Output::ReadReady { operation_id: OperationId(5) }));
     }
 }
 
-/// Guards against a node that votes again after it forgot its votes: without its journal, or with a damaged one, it does
-/// not start under its number.
+/// Guards against a node that votes twice in a term after it lost its votes: with a missing or corrupt journal
+/// it does not start under its node id.
 #[test]
-fn a_lost_or_damaged_journal_is_no_start() {
-    let folder = tempfile::tempdir().expect("a folder");
-    assert!(matches!(open(folder.path(), 1, 1, Start::Again), Err(OpenError::Lost)));
-    let mut replica = open(folder.path(), 1, 1, Start::Founder(vec![1])).expect("starts");
-    lead(&mut replica);
-    replica.propose(Ticket(1), &put("up")).expect("it leads");
+fn a_missing_or_corrupt_journal_prevents_start() {
+    let folder = tempfile::tempdir().expect("a directory");
+    assert!(matches!(open(folder.path(), 1, 1, Start::Restart), Err(OpenError::MissingJournal)));
+    let mut replica = open(folder.path(), 1, 1, Start::Bootstrap(vec![1])).expect("starts");
+    elect(&mut replica);
+    replica.propose(OperationId(1), &put("up")).expect("it is the leader");
     drop(replica);
-    assert!(matches!(open(folder.path(), 2, 1, Start::Again), Err(OpenError::Another(1))));
-    assert!(matches!(open(folder.path(), 1, 2, Start::Newcomer), Err(OpenError::Another(1))));
+    assert!(matches!(open(folder.path(), 2, 1, Start::Restart), Err(OpenError::UnexpectedJournal(1))));
+    assert!(matches!(open(folder.path(), 1, 2, Start::Join), Err(OpenError::UnexpectedJournal(1))));
     let journal = folder.path().join("quorum.journal");
-    let sound = std::fs::read(&journal).expect("written");
-    std::fs::write(&journal, &sound[..sound.len() - 3]).expect("written");
-    open(folder.path(), 1, 2, Start::Again).expect("a torn tail is cut off");
-    let mut spoilt = sound.clone();
-    spoilt[sound.len() / 2] ^= 1;
-    std::fs::write(&journal, &spoilt).expect("written");
-    assert!(matches!(open(folder.path(), 1, 3, Start::Again), Err(OpenError::Damaged(_))));
+    let valid = std::fs::read(&journal).expect("written");
+    std::fs::write(&journal, &valid[..valid.len() - 3]).expect("written");
+    open(folder.path(), 1, 2, Start::Restart).expect("a torn write is truncated");
+    let mut corrupted = valid.clone();
+    corrupted[valid.len() / 2] ^= 1;
+    std::fs::write(&journal, &corrupted).expect("written");
+    assert!(matches!(open(folder.path(), 1, 3, Start::Restart), Err(OpenError::Corrupt(_))));
 }
 
-/// A disk that is full from a moment on.
-struct Full(FileDisk, usize);
+/// A disk that is full after a number of appended bytes.
+struct LimitedDisk(FileDisk, usize);
 
-impl Disk for Full {
+impl Disk for LimitedDisk {
     fn load(&mut self) -> io::Result<Vec<u8>> {
         self.0.load()
     }
@@ -89,28 +99,28 @@
     }
 }
 
-/// Guards the promise against a disk that fails: nothing is acknowledged that may not stand, and what is known is still
-/// told.
+/// Guards durability when the disk fails: nothing is acknowledged that may not be durable, and reads of the
+/// known state still work.
 #[test]
-fn a_replica_whose_disk_is_full_takes_no_part_and_tells_what_it_knows() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let disk = Full(FileDisk::open(folder.path()).expect("a folder"), 1000);
-    let mut replica = Replica::open(config(1, 1), Start::Founder(vec![1]), disk).expect("starts");
-    lead(&mut replica);
-    let made = |output: &Output| matches!(output, Output::Made { .. });
-    let mut agreed = 0;
-    while replica.propose(Ticket(agreed + 1), &put(&agreed.to_string())).is_ok() {
-        agreed += u64::from(replica.outputs().iter().any(made));
-        assert!(agreed < 100, "the disk has an end");
+fn a_replica_whose_disk_is_full_stops_and_still_reports_its_state() {
+    let folder = tempfile::tempdir().expect("a directory");
+    let disk = LimitedDisk(FileDisk::open(folder.path()).expect("a directory"), 1000);
+    let mut replica = Replica::open(config(1, 1), Start::Bootstrap(vec![1]), disk).expect("starts");
+    elect(&mut replica);
+    let applied = |output: &Output| matches!(output, Output::Applied { .. });
+    let mut committed = 0;
+    while replica.propose(OperationId(committed + 1), &put(&committed.to_string())).is_ok() {
+        committed += u64::from(replica.take_outputs().iter().any(applied));
+        assert!(committed < 100, "the disk fills up");
     }
-    assert!(agreed > 1);
-    assert_eq!(replica.registry().get("w1"), Some((agreed - 1).to_string().as_str()));
-    assert_eq!(replica.propose(Ticket(200), &put("late")), Err(NotProposed::Failed));
-    assert_eq!(replica.change(Member::Learner(2)), Err(NotProposed::Failed));
-    assert!(replica.standing().failed.is_some() && replica.standing().leader.is_none());
+    assert!(committed > 1);
+    assert_eq!(replica.registry().get("w1"), Some((committed - 1).to_string().as_str()));
+    assert_eq!(replica.propose(OperationId(200), &put("late")), Err(ProposeError::Failed));
+    assert_eq!(replica.change_membership(MembershipChange::AddLearner(2)), Err(ProposeError::Failed));
+    assert!(replica.status().failed.is_some() && replica.status().leader.is_none());
     replica.tick();
     assert!(replica
-        .outputs()
+        .take_outputs()
         .iter()
-        .all(|output| !matches!(output, Output::Send { .. } | Output::Made { .. })));
+        .all(|output| !matches!(output, Output::Send { .. } | Output::Applied { .. })));
 }
--- a/crates/tenure/src/holder.rs
+++ b/crates/tenure/src/holder.rs
@@ -1,83 +1,93 @@
-//! When to ask for a lease, when to renew it, and when to stop.
-use crate::{Command, Instant, Owner, Reply, Span, Term};
+//! When a process requests a lease, renews it, and stops acting under it.
+use crate::{Command, Instant, LeaseTiming, Owner, Reply, Term};
 
-/// Which question an answer belongs to.
+/// Correlates a reply with the proposal that it answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Ticket(pub u64);
+pub struct ProposalId(pub u64);
 
-/// A renewal is asked for once this part of the length has passed.
-const RENEW_AFTER: u32 = 3;
-/// A question without an answer is asked again after this part of the length.
-const ASK_AGAIN: u32 = 6;
+/// A lease is renewed after its duration divided by this.
+const RENEW_DIVISOR: u32 = 3;
+/// An unanswered proposal is repeated after the lease duration divided by this.
+const RETRY_DIVISOR: u32 = 6;
 
-/// One process's hold on one name.
+/// One process's side of one lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Holder {
     name: String,
     owner: Owner,
-    span: Span,
-    last: Ticket,
-    /// The question that is out, and when it was asked.
-    asked: Option<(Ticket, Instant)>,
-    held: Option<Held>,
+    timing: LeaseTiming,
+    last_proposal: ProposalId,
+    /// The proposal in progress, and when it was made.
+    pending: Option<(ProposalId, Instant)>,
+    grant: Option<Grant>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Held {
+struct Grant {
     term: Term,
-    /// When the question was asked whose answer granted or renewed it.
-    since: Instant,
+    /// When the proposal was made that granted or renewed the lease.
+    requested_at: Instant,
 }
 
 impl Holder {
-    /// Somebody who wants the name and holds nothing yet.
-    pub fn new(name: &str, owner: Owner, span: Span) -> Self {
-        Holder { name: name.to_string(), owner, span, last: Ticket::default(), asked: None, held: None }
+    /// A process that wants the lease and does not hold it yet.
+    pub fn new(name: &str, owner: Owner, timing: LeaseTiming) -> Self {
+        Holder {
+            name: name.to_string(),
+            owner,
+            timing,
+            last_proposal: ProposalId::default(),
+            pending: None,
+            grant: None,
+        }
     }
 
-    /// The term under which the holder may act at this moment; `None` from the moment on at which its span is over, be
-    /// it that renewals were lost or that the process stood still.
-    pub fn may_act(&self, now: Instant) -> Option<Term> {
-        self.held.filter(|held| now < held.since + self.span.held()).map(|held| held.term)
+    /// The term under which the holder may act now. `None` once the lease has run out by the holder's clock,
+    /// whether because renewals were lost or because the process was paused.
+    pub fn active_term(&self, now: Instant) -> Option<Term> {
+        self.grant
+            .filter(|grant| now < grant.requested_at + self.timing.holder_validity())
+            .map(|grant| grant.term)
     }
 
-    /// What to propose now, if anything; to be called several times within a length.
-    pub fn poll(&mut self, now: Instant) -> Option<(Ticket, Command)> {
-        if self.asked.is_some_and(|(_, at)| now < at + self.span.length / ASK_AGAIN) {
+    /// The command to propose now, if any; call it several times per lease duration.
+    pub fn poll(&mut self, now: Instant) -> Option<(ProposalId, Command)> {
+        if self.pending.is_some_and(|(_, at)| now < at + self.timing.duration / RETRY_DIVISOR) {
             return None;
         }
         let (name, owner) = (self.name.clone(), self.owner);
-        let command = match self.held.filter(|_| self.may_act(now).is_some()) {
-            Some(held) if now < held.since + self.span.length / RENEW_AFTER => return None,
-            Some(held) => Command::Renew { name, owner, term: held.term },
+        let command = match self.grant.filter(|_| self.active_term(now).is_some()) {
+            Some(grant) if now < grant.requested_at + self.timing.duration / RENEW_DIVISOR => return None,
+            Some(grant) => Command::Renew { name, owner, term: grant.term },
             None => {
-                self.held = None;
+                self.grant = None;
                 Command::Take { name, owner }
             }
         };
-        self.last.0 += 1;
-        self.asked = Some((self.last, now));
-        Some((self.last, command))
+        self.last_proposal.0 += 1;
+        self.pending = Some((self.last_proposal, now));
+        Some((self.last_proposal, command))
     }
 
-    /// What became of a proposal. Only the answer to the last question counts: an earlier one says nothing of how
-    /// recently the lease was renewed.
-    pub fn heard(&mut self, ticket: Ticket, reply: Reply) {
-        let Some((_, since)) = self.asked.filter(|asked| asked.0 == ticket) else { return };
+    /// Handles the reply to a proposal. Only the reply to the latest proposal counts: an earlier one does not
+    /// show how recently the lease was renewed.
+    pub fn on_reply(&mut self, proposal_id: ProposalId, reply: Reply) {
+        let Some((_, requested_at)) = self.pending.filter(|pending| pending.0 == proposal_id) else { return };
         match reply {
             Reply::Held(term) => {
-                (self.held, self.asked) = (Some(Held { term, since }), None);
+                (self.grant, self.pending) = (Some(Grant { term, requested_at }), None);
             }
-            // Asked again after a while.
-            Reply::Taken { .. } => self.held = None,
-            Reply::Free | Reply::Over => (self.held, self.asked) = (None, None),
+            // `pending` is kept, so that the next request waits for the retry interval.
+            Reply::Taken { .. } => self.grant = None,
+            Reply::Free | Reply::Over => (self.grant, self.pending) = (None, None),
         }
     }
 
-    /// Stops at once, for good or for now; what to propose so that the next may have it without a wait.
-    pub fn stop(&mut self) -> Option<Command> {
-        self.asked = None;
-        let held = self.held.take()?;
-        Some(Command::GiveBack { name: self.name.clone(), owner: self.owner, term: held.term })
+    /// Stops acting at once. Returns the command that gives the lease back, so that the next holder need not
+    /// wait for it to expire.
+    pub fn release(&mut self) -> Option<Command> {
+        self.pending = None;
+        let grant = self.grant.take()?;
+        Some(Command::GiveBack { name: self.name.clone(), owner: self.owner, term: grant.term })
     }
 }
--- a/crates/tenure/src/book.rs
+++ b/crates/tenure/src/lease_table.rs
@@ -1,61 +1,61 @@
-//! The replicated record of leases.
+//! The replicated table of leases.
 use crate::{Owner, Term};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Who holds a name.
+/// The state of one lease.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Lease {
-    /// The term of the present holder, or of the last one.
+    /// The term of the current holder, or of the last one.
     pub term: Term,
-    /// The present holder.
+    /// The current holder.
     pub holder: Option<Owner>,
-    /// Renewals under this term, the grant included.
+    /// Number of renewals under this term, including the grant.
     pub renewals: u64,
 }
 
-/// A change of the record; it takes effect when it is committed.
+/// A change of the table, which takes effect once it is committed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Command {
-    /// The owner wants the name.
+    /// An owner requests the lease.
     Take {
-        /// The name.
+        /// The name of the lease.
         name: String,
-        /// Who wants it.
+        /// The owner that requests it.
         owner: Owner,
     },
-    /// The holder goes on.
+    /// The holder renews the lease.
     Renew {
-        /// The name.
+        /// The name of the lease.
         name: String,
-        /// Who holds it.
+        /// The holder.
         owner: Owner,
-        /// Its term.
+        /// The holder's term.
         term: Term,
     },
-    /// The holder has stopped and hands the name back: the next may have it at once.
+    /// The holder has stopped acting and releases the lease, so that it can be granted again at once.
     GiveBack {
-        /// The name.
+        /// The name of the lease.
         name: String,
-        /// Who held it.
+        /// The former holder.
         owner: Owner,
-        /// Its term.
+        /// The former holder's term.
         term: Term,
     },
-    /// The watch heard of no renewal for long enough. It names the last one that it knew of, so that one which is
-    /// committed first keeps the lease.
+    /// The monitor has seen no renewal for long enough. The command carries the renewal count that the monitor
+    /// knew, so that a renewal committed first keeps the lease.
     Expire {
-        /// The name.
+        /// The name of the lease.
         name: String,
-        /// The term.
+        /// The term that expires.
         term: Term,
-        /// Renewals that the watch knew of.
+        /// The renewal count that the monitor knew.
         renewals: u64,
     },
 }
 
 impl Command {
-    /// The name that it is about.
+    /// The name of the lease that the command changes.
     pub fn name(&self) -> &str {
         match self {
             Command::Take { name, .. }
@@ -66,54 +66,54 @@
     }
 }
 
-/// What became of a command.
+/// The result of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Reply {
-    /// The owner holds the name under this term, until its span is over.
+    /// The owner holds the lease under this term, until its duration has passed.
     Held(Term),
-    /// Another holds it.
+    /// Another owner holds the lease.
     Taken {
-        /// Who.
+        /// The current holder.
         by: Owner,
-        /// Under which term.
+        /// The current holder's term.
         term: Term,
     },
-    /// The name is free.
+    /// Nobody holds the lease.
     Free,
-    /// The term is over; nothing was changed.
+    /// Nothing was changed: the command's term is over, or the lease was renewed before it expired.
     Over,
 }
 
-/// A term is over: what was to be done under it must not be done.
+/// The term of an operation is over, so the operation must not take place.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Stale {
-    /// The newest term of the name.
+    /// The newest term of the lease.
     pub newest: Term,
 }
 
 impl std::fmt::Display for Stale {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "the term is over; the newest is {}", self.newest.0)
+        write!(f, "the term is over; the newest term is {}", self.newest.0)
     }
 }
 
 impl std::error::Error for Stale {}
 
-/// All leases. A pure function of the commands committed, in their order.
+/// All leases. The state depends only on the sequence of committed commands.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Book {
+pub struct LeaseTable {
     leases: BTreeMap<String, Lease>,
 }
 
-impl Book {
-    /// Carries a committed command out.
+impl LeaseTable {
+    /// Applies a committed command.
     pub fn apply(&mut self, command: &Command) -> Reply {
         match command {
             Command::Take { name, owner } => {
                 let lease = self.leases.entry(name.clone()).or_default();
                 match lease.holder {
                     Some(by) if by != *owner => return Reply::Taken { by, term: lease.term },
-                    // Asked twice, for an answer was lost: one grant.
+                    // The holder repeats its request because the reply was lost; it keeps its term.
                     Some(_) => lease.renewals += 1,
                     None => {
                         let term = Term(lease.term.0 + 1);
@@ -122,14 +122,14 @@
                 }
                 Reply::Held(lease.term)
             }
-            Command::Renew { name, owner, term } => match self.held(name, *owner, *term) {
+            Command::Renew { name, owner, term } => match self.held_lease(name, *owner, *term) {
                 Some(lease) => {
                     lease.renewals += 1;
                     Reply::Held(*term)
                 }
                 None => Reply::Over,
             },
-            Command::GiveBack { name, owner, term } => match self.held(name, *owner, *term) {
+            Command::GiveBack { name, owner, term } => match self.held_lease(name, *owner, *term) {
                 Some(lease) => {
                     lease.holder = None;
                     Reply::Free
@@ -146,16 +146,16 @@
         }
     }
 
-    fn held(&mut self, name: &str, owner: Owner, term: Term) -> Option<&mut Lease> {
+    fn held_lease(&mut self, name: &str, owner: Owner, term: Term) -> Option<&mut Lease> {
         self.leases.get_mut(name).filter(|lease| lease.holder == Some(owner) && lease.term == term)
     }
 
-    /// The fence: whether an effect under that term may still take place. An expired term is over even while nobody
-    /// else has been granted the name.
+    /// The fencing check: whether an operation under that term may still take place. An expired term is
+    /// rejected even while the lease has not been granted to another owner.
     ///
     /// # Errors
-    /// [`Stale`] where another term has begun or this one is over.
-    pub fn admits(&self, name: &str, owner: Owner, term: Term) -> Result<(), Stale> {
+    /// [`Stale`] if another term has begun or this one is over.
+    pub fn check_fence(&self, name: &str, owner: Owner, term: Term) -> Result<(), Stale> {
         let lease = self.lease(name);
         match lease.filter(|lease| lease.holder == Some(owner) && lease.term == term) {
             Some(_) => Ok(()),
@@ -163,12 +163,12 @@
         }
     }
 
-    /// A name's lease, if it ever had one.
+    /// Returns a lease by name, if it was ever granted.
     pub fn lease(&self, name: &str) -> Option<&Lease> {
         self.leases.get(name)
     }
 
-    /// All names that ever had a holder, with their leases.
+    /// Iterates over all leases that were ever granted, ordered by name.
     pub fn leases(&self) -> impl Iterator<Item = (&str, &Lease)> {
         self.leases.iter().map(|(name, lease)| (name.as_str(), lease))
     }
--- a/crates/tenure/src/lib.rs
+++ b/crates/tenure/src/lib.rs
@@ -1,61 +1,65 @@
-//! One owner at a time for work on behalf of the fleet: leases with terms, as decisions without I/O and without a
-//! clock.
+//! Leases with terms, which give work on behalf of the fleet one owner at a time. Decisions only, without I/O
+//! and without a clock.
 //!
-//! Three parts agree by what is committed and by spans of their own monotonic clocks, never by the time of day:
+//! Three parts coordinate through committed commands and durations on their own monotonic clocks, never through
+//! the time of day:
 //!
-//! - [`Book`] is replicated: who holds what under which term. It knows no time, so that every replica comes to the
-//!   same from the same commands.
-//! - [`Watch`] stands at whoever leads the replicas and tells when a silent holder may be taken for gone.
-//! - [`Holder`] stands at whoever wants a lease: when to ask, when to renew, when to stop by itself.
+//! - [`LeaseTable`] is replicated: who holds which lease under which term. It knows no time, so every replica
+//!   reaches the same state from the same commands.
+//! - [`LeaseMonitor`] runs on the leader of the replicas and decides when the lease of a silent holder expires.
+//! - [`Holder`] runs in each process that wants a lease: when to request it, when to renew it, when to stop by
+//!   itself.
 //!
-//! A holder counts its lease from before it asked, and by a slower clock than its own; the watch counts from after the
-//! renewal was committed, and by a faster one. As long as no clock drifts by more than [`Span::drift`], the holder has
-//! stopped before anybody else is granted the lease. What it began before it stopped is fenced by its term:
-//! [`Book::admits`].
-mod book;
+//! A holder counts its lease from before its request, and shortens it by the maximum clock drift; the monitor
+//! counts from after the renewal was committed, and lengthens it by the same margin. As long as no clock drifts
+//! by more than [`LeaseTiming::max_drift_permille`], the holder has stopped before another is granted the
+//! lease. Operations that it began before it stopped are fenced by their term: [`LeaseTable::check_fence`].
 mod holder;
-mod watch;
+mod lease_monitor;
+mod lease_table;
 
-pub use book::{Book, Command, Lease, Reply, Stale};
-pub use holder::{Holder, Ticket};
-pub use watch::Watch;
+pub use holder::{Holder, ProposalId};
+pub use lease_monitor::LeaseMonitor;
+pub use lease_table::{Command, Lease, LeaseTable, Reply, Stale};
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// A reading of a process's own monotonic clock, as the span since some fixed moment of that process.
+/// A reading of a process's own monotonic clock, as the duration since some fixed moment in that process.
 pub type Instant = Duration;
 
-/// Counts the holders that a name has had. It only grows.
+/// A lease term: the number of times that a lease has been granted. It only increases.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Term(pub u64);
 
-/// A process that may hold leases. A node that starts again is another owner: what its earlier life held is not its own.
+/// A process that may hold leases. A restarted node is another owner: it does not hold the leases of its
+/// earlier incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Owner {
-    /// The node.
+    /// Node id.
     pub node: u64,
-    /// Its life, new with every start.
+    /// Process incarnation, unique for each start of the node.
     pub life: u64,
 }
 
-/// How long a lease lasts without renewal, and how far clocks are trusted.
+/// How long a lease lasts without renewal, and how much clocks may drift.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Span {
-    /// Length of a lease.
-    pub length: Duration,
-    /// The most by which a clock runs fast or slow, in thousandths.
-    pub drift: u32,
+pub struct LeaseTiming {
+    /// Duration of a lease.
+    pub duration: Duration,
+    /// Maximum drift of a clock in either direction, in thousandths.
+    pub max_drift_permille: u32,
 }
 
-impl Span {
-    /// For how long a holder may act, by its own clock, from the moment at which it asked.
-    pub fn held(&self) -> Duration {
-        self.length * 1000u32.saturating_sub(self.drift) / 1000
+impl LeaseTiming {
+    /// How long a holder may act, by its own clock, counted from the moment of its request.
+    pub fn holder_validity(&self) -> Duration {
+        self.duration * 1000u32.saturating_sub(self.max_drift_permille) / 1000
     }
 
-    /// How long the watch waits, by its own clock, from the moment at which it saw the renewal committed.
-    pub fn watched(&self) -> Duration {
-        self.length * (1000 + self.drift) / 1000
+    /// How long the monitor waits, by its own clock, counted from the moment at which it saw the renewal
+    /// committed.
+    pub fn expiry_timeout(&self) -> Duration {
+        self.duration * (1000 + self.max_drift_permille) / 1000
     }
 }
--- a/crates/tenure/tests/model.rs
+++ b/crates/tenure/tests/model.rs
@@ -1,30 +1,33 @@
-//! Every interleaving of two who want one name: their clocks run fast or slow, leaders change, and what the first asks,
-//! hears and writes is delayed at will, as if it were stopped there. The second's takes no time.
-use corkbay_tenure::{Book, Command, Holder, Owner, Reply, Span, Term, Ticket, Watch};
+//! Model-checks every interleaving of two processes that want one lease. Their clocks run fast or slow, leaders
+//! change, and the first process's proposals, replies and writes are delayed arbitrarily, as if it were paused
+//! there. The second process's steps take no time.
+use corkbay_tenure::{
+    Command, Holder, LeaseMonitor, LeaseTable, LeaseTiming, Owner, ProposalId, Reply, Term,
+};
 use stateright::{Checker, Model, Property};
 use std::time::Duration;
 
-const NAME: &str = "sweep";
-/// Moments of true time that are explored, in units in which a lease lasts two.
-const END: u32 = 4;
-/// Questions that the first may ask in all.
-const ASKS: u64 = 4;
+const LEASE_NAME: &str = "sweep";
+/// True time that is explored, in units of which a lease lasts two.
+const END_TIME: u32 = 4;
+/// Maximum number of proposals of the first process.
+const MAX_PROPOSALS: u64 = 4;
 const UNIT: Duration = Duration::from_millis(1000);
-/// The most by which a clock runs fast or slow, in thousandths.
-const DRIFT: u32 = 250;
+/// Maximum drift of a clock in either direction, in thousandths.
+const MAX_DRIFT_PERMILLE: u32 = 250;
 
-/// What is left out, to see that the model finds it.
+/// The fault to inject, to verify that the model detects it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Flaw {
+enum Fault {
     None,
-    /// Holder and watch count the same span, though their clocks differ.
-    NoMargin,
-    /// The holder counts from the answer on.
-    SinceAnswer,
-    /// A new leader takes holders for silent since long ago.
-    LeadsBlindly,
+    /// Holder and monitor use the same duration without a margin, though their clocks differ.
+    NoDriftMargin,
+    /// The holder counts the lease from the reply instead of from its request.
+    CountFromReply,
+    /// A new leader assumes that holders have been silent since time 0.
+    LeaderAssumesSilence,
     /// Writes are not fenced.
-    NoFence,
+    NoFencing,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -34,8 +37,10 @@
 }
 
 impl Clock {
-    fn reads(self, true_time: u32) -> Duration {
-        UNIT * true_time * if self == Clock::Slow { 1000 - DRIFT } else { 1000 + DRIFT } / 1000
+    fn reading(self, true_time: u32) -> Duration {
+        UNIT * true_time
+            * if self == Clock::Slow { 1000 - MAX_DRIFT_PERMILLE } else { 1000 + MAX_DRIFT_PERMILLE }
+            / 1000
     }
 }
 
@@ -43,55 +48,58 @@
 struct State {
     time: u32,
     clocks: [Clock; 3],
-    book: Book,
+    table: LeaseTable,
     holders: [Holder; 2],
-    watch: Watch,
-    /// Proposals on their way; those of the watch have no ticket.
-    proposed: Vec<(Option<Ticket>, Command)>,
-    answer: Option<(Ticket, Reply)>,
-    /// A write on its way, checked when it was begun.
+    monitor: LeaseMonitor,
+    /// Proposals in transit; those of the monitor have no id.
+    proposed: Vec<(Option<ProposalId>, Command)>,
+    reply: Option<(ProposalId, Reply)>,
+    /// A write in transit, under the term that was valid when it began.
     write: Option<Term>,
-    /// The newest term under which a write took place, and whether an older one did later.
+    /// The newest term under which a write took place, and whether a write under an older one followed.
     newest: Term,
-    fell: bool,
-    leaders: u8,
+    write_term_fell: bool,
+    leader_changes: u8,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Step {
-    Time,
-    Ask,
+    AdvanceTime,
+    Propose,
     Commit(usize),
-    Hear,
-    Check,
-    Land,
-    /// The second asks and hears.
-    Second,
-    /// The second writes.
-    Write,
-    Watch,
-    Lead,
+    Receive,
+    BeginWrite,
+    CompleteWrite,
+    /// The second process requests the lease and receives the reply.
+    SecondTakes,
+    /// The second process writes.
+    SecondWrites,
+    Expire,
+    ChangeLeader,
 }
 
-struct Two {
-    flaw: Flaw,
+struct TwoHolders {
+    fault: Fault,
 }
 
 fn owner(who: usize) -> Owner {
     Owner { node: who as u64, life: 1 }
 }
 
-impl Two {
-    fn span(&self) -> Span {
-        Span { length: UNIT * 2, drift: if self.flaw == Flaw::NoMargin { 0 } else { DRIFT } }
+impl TwoHolders {
+    fn timing(&self) -> LeaseTiming {
+        LeaseTiming {
+            duration: UNIT * 2,
+            max_drift_permille: if self.fault == Fault::NoDriftMargin { 0 } else { MAX_DRIFT_PERMILLE },
+        }
     }
 
     fn now(&self, state: &State, who: usize) -> Duration {
-        state.clocks[who].reads(state.time)
+        state.clocks[who].reading(state.time)
     }
 }
 
-impl Model for Two {
+impl Model for TwoHolders {
     type State = State;
     type Action = Step;
 
@@ -100,99 +108,110 @@
         let start = |bits: u32| State {
             time: 0,
             clocks: [clock(bits & 1 > 0), clock(bits & 2 > 0), clock(bits & 4 > 0)],
-            book: Book::default(),
-            holders: [0, 1].map(|who| Holder::new(NAME, owner(who), self.span())),
-            watch: Watch::new(self.span()),
+            table: LeaseTable::default(),
+            holders: [0, 1].map(|who| Holder::new(LEASE_NAME, owner(who), self.timing())),
+            monitor: LeaseMonitor::new(self.timing()),
             proposed: Vec::new(),
-            answer: None,
+            reply: None,
             write: None,
             newest: Term(0),
-            fell: false,
-            leaders: 0,
+            write_term_fell: false,
+            leader_changes: 0,
         };
         (0..8).map(start).collect()
     }
 
     fn actions(&self, state: &State, steps: &mut Vec<Step>) {
-        if state.time < END {
-            steps.push(Step::Time);
+        if state.time < END_TIME {
+            steps.push(Step::AdvanceTime);
         }
-        // Two questions of the first on their way: an old one may be committed after a newer.
+        // Up to two proposals of the first process are in transit, so an old one may be committed after a newer
+        // one.
         let out = state.proposed.iter().filter(|proposal| proposal.0.is_some()).count();
         let next = state.holders[0].clone().poll(self.now(state, 0));
-        if out < 2 && next.is_some_and(|(ticket, _)| ticket.0 <= ASKS) {
-            steps.push(Step::Ask);
+        if out < 2 && next.is_some_and(|(proposal_id, _)| proposal_id.0 <= MAX_PROPOSALS) {
+            steps.push(Step::Propose);
         }
-        if state.write.is_none() && state.holders[0].may_act(self.now(state, 0)).is_some() {
-            steps.push(Step::Check);
+        if state.write.is_none() && state.holders[0].active_term(self.now(state, 0)).is_some() {
+            steps.push(Step::BeginWrite);
         }
-        // Asking while the first holds it changes nothing.
-        if state.book.lease(NAME).is_none_or(|lease| lease.holder.is_none()) {
-            steps.push(Step::Second);
+        // A request while the lease is held changes nothing.
+        if state.table.lease(LEASE_NAME).is_none_or(|lease| lease.holder.is_none()) {
+            steps.push(Step::SecondTakes);
         }
-        if state.holders[1].may_act(self.now(state, 1)).is_some_and(|term| term > state.newest) {
-            steps.push(Step::Write);
+        if state.holders[1].active_term(self.now(state, 1)).is_some_and(|term| term > state.newest) {
+            steps.push(Step::SecondWrites);
         }
         steps.extend((0..state.proposed.len()).map(Step::Commit));
-        steps.extend(state.answer.map(|_| Step::Hear));
-        steps.extend(state.write.map(|_| Step::Land));
-        if state.proposed.iter().all(|p| p.0.is_some()) && !state.watch.due(self.now(state, 2)).is_empty() {
-            steps.push(Step::Watch);
+        steps.extend(state.reply.map(|_| Step::Receive));
+        steps.extend(state.write.map(|_| Step::CompleteWrite));
+        if state.proposed.iter().all(|p| p.0.is_some())
+            && !state.monitor.expired(self.now(state, 2)).is_empty()
+        {
+            steps.push(Step::Expire);
         }
-        if state.leaders < 1 {
-            steps.push(Step::Lead);
+        if state.leader_changes < 1 {
+            steps.push(Step::ChangeLeader);
         }
     }
 
     fn next_state(&self, last: &State, step: Step) -> Option<State> {
         let mut state = last.clone();
         match step {
-            Step::Time => state.time += 1,
-            Step::Ask => {
-                let (ticket, command) = state.holders[0].poll(self.now(last, 0))?;
-                state.proposed.push((Some(ticket), command));
+            Step::AdvanceTime => state.time += 1,
+            Step::Propose => {
+                let (proposal_id, command) = state.holders[0].poll(self.now(last, 0))?;
+                state.proposed.push((Some(proposal_id), command));
             }
             Step::Commit(at) => {
-                let (ticket, command) = state.proposed.remove(at);
-                let reply = state.book.apply(&command);
-                state.watch.note(self.now(last, 2), command.name(), &state.book);
-                // An answer that a later one overtakes is as good as lost.
-                state.answer = ticket.map(|ticket| (ticket, reply)).or(state.answer);
+                let (proposal_id, command) = state.proposed.remove(at);
+                let reply = state.table.apply(&command);
+                state.monitor.observe(self.now(last, 2), command.name(), &state.table);
+                // A reply that is overtaken by a later one counts as lost.
+                state.reply = proposal_id.map(|proposal_id| (proposal_id, reply)).or(state.reply);
             }
-            Step::Hear => {
-                let (ticket, reply) = state.answer.take()?;
-                if self.flaw == Flaw::SinceAnswer {
-                    // As if it had asked just now.
-                    let mut late = Holder::new(NAME, owner(0), self.span());
+            Step::Receive => {
+                let (proposal_id, reply) = state.reply.take()?;
+                if self.fault == Fault::CountFromReply {
+                    // As if the request had been made just now.
+                    let mut late = Holder::new(LEASE_NAME, owner(0), self.timing());
                     let (now, _) = late.poll(self.now(last, 0))?;
-                    late.heard(now, reply);
+                    late.on_reply(now, reply);
                     state.holders[0] = late;
                 } else {
-                    state.holders[0].heard(ticket, reply);
+                    state.holders[0].on_reply(proposal_id, reply);
                 }
             }
-            Step::Check => state.write = Some(state.holders[0].may_act(self.now(last, 0))?),
-            Step::Land => {
+            Step::BeginWrite => state.write = Some(state.holders[0].active_term(self.now(last, 0))?),
+            Step::CompleteWrite => {
                 let term = state.write.take()?;
-                if self.flaw == Flaw::NoFence || state.book.admits(NAME, owner(0), term).is_ok() {
-                    state.fell |= term < state.newest;
+                if self.fault == Fault::NoFencing
+                    || state.table.check_fence(LEASE_NAME, owner(0), term).is_ok()
+                {
+                    state.write_term_fell |= term < state.newest;
                     state.newest = state.newest.max(term);
                 }
             }
-            Step::Second => {
-                let (ticket, command) = state.holders[1].poll(self.now(last, 1))?;
-                let reply = state.book.apply(&command);
-                state.watch.note(self.now(last, 2), command.name(), &state.book);
-                state.holders[1].heard(ticket, reply);
+            Step::SecondTakes => {
+                let (proposal_id, command) = state.holders[1].poll(self.now(last, 1))?;
+                let reply = state.table.apply(&command);
+                state.monitor.observe(self.now(last, 2), command.name(), &state.table);
+                state.holders[1].on_reply(proposal_id, reply);
             }
-            Step::Write => state.newest = state.holders[1].may_act(self.now(last, 1))?,
-            Step::Watch => {
-                state.proposed.extend(state.watch.due(self.now(last, 2)).into_iter().map(|due| (None, due)));
+            Step::SecondWrites => state.newest = state.holders[1].active_term(self.now(last, 1))?,
+            Step::Expire => {
+                state
+                    .proposed
+                    .extend(state.monitor.expired(self.now(last, 2)).into_iter().map(|due| (None, due)));
             }
-            Step::Lead => {
-                state.leaders += 1;
-                let now = if self.flaw == Flaw::LeadsBlindly { Duration::ZERO } else { self.now(last, 2) };
-                state.watch.lead(now, &state.book);
+            Step::ChangeLeader => {
+                state.leader_changes += 1;
+                let now = if self.fault == Fault::LeaderAssumesSilence {
+                    Duration::ZERO
+                } else {
+                    self.now(last, 2)
+                };
+                state.monitor.reset(now, &state.table);
             }
         }
         Some(state)
@@ -200,38 +219,39 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("one acts at a time", |model: &Two, state: &State| {
-                (0..2).filter(|who| state.holders[*who].may_act(model.now(state, *who)).is_some()).count() < 2
+            Property::always("at most one active holder", |model: &TwoHolders, state: &State| {
+                (0..2).filter(|who| state.holders[*who].active_term(model.now(state, *who)).is_some()).count()
+                    < 2
             }),
-            Property::always("terms of writes never fall", |_, state: &State| !state.fell),
-            Property::sometimes("the second takes over", |model: &Two, state: &State| {
-                state.newest > Term(1) && state.holders[1].may_act(model.now(state, 1)).is_some()
+            Property::always("write terms never decrease", |_, state: &State| !state.write_term_fell),
+            Property::sometimes("the second process takes over", |model: &TwoHolders, state: &State| {
+                state.newest > Term(1) && state.holders[1].active_term(model.now(state, 1)).is_some()
             }),
         ]
     }
 }
 
-fn explored(flaw: Flaw) -> impl Checker<Two> {
-    Two { flaw }.checker().threads(2).spawn_bfs().join()
+fn explore(fault: Fault) -> impl Checker<TwoHolders> {
+    TwoHolders { fault }.checker().threads(2).spawn_bfs().join()
 }
 
-/// Guards the promise itself, over every order of events within the bounds above.
+/// Guards the guarantees over every order of events within the bounds above.
 #[test]
 fn one_acts_at_a_time_and_terms_never_fall() {
-    let checker = explored(Flaw::None);
+    let checker = explore(Fault::None);
     println!("{} states", checker.unique_state_count());
     checker.assert_properties();
 }
 
-/// Guards the model: each part of the promise, left out, is found missing.
+/// Guards the model itself: each injected fault is detected.
 #[test]
-fn planted_flaws_are_found() {
-    for flaw in [Flaw::NoMargin, Flaw::SinceAnswer, Flaw::LeadsBlindly] {
-        let found = explored(flaw).discovery("one acts at a time");
-        assert!(found.is_some(), "{flaw:?} is found");
+fn injected_faults_are_detected() {
+    for fault in [Fault::NoDriftMargin, Fault::CountFromReply, Fault::LeaderAssumesSilence] {
+        let found = explore(fault).discovery("at most one active holder");
+        assert!(found.is_some(), "{fault:?} is detected");
     }
     assert!(
-        explored(Flaw::NoFence).discovery("terms of writes never fall").is_some(),
-        "a missing fence is found"
+        explore(Fault::NoFencing).discovery("write terms never decrease").is_some(),
+        "a missing fence is detected"
     );
 }
