--- a/crates/node/src/life/handover.rs
+++ b/crates/node/src/life/handover.rs
@@ -1,10 +1,11 @@
-//! What two processes of one invoker share while both live: the operators' overrides, and whether each process is ready.
+//! State that two processes of one invoker share while both run: the operators' overrides and the readiness of each
+//! process.
 //!
-//! | module | job |
+//! | module | purpose |
 //! | --- | --- |
-//! | `command` | what operators may ask for |
-//! | `files` | the files in a folder that both processes share |
-//! | `sync` | the thread that keeps the files and this process in step |
+//! | `command` | the operators' commands and their errors |
+//! | `files` | the files in the folder shared by both processes |
+//! | `sync` | the thread that synchronises the files with this process |
 mod command;
 mod files;
 mod sync;
@@ -12,7 +13,7 @@
 use crate::core::{lock, monotonic_ms, Invoker};
 use crate::timers;
 use corkbay_duty::{Leave, Overrides, Succession, Terms};
-use may::sync::mpsc as answers;
+use may::sync::mpsc as coroutine_mpsc;
 use std::io;
 use std::sync::atomic::Ordering;
 use std::sync::mpsc::{channel, Sender};
@@ -24,30 +25,30 @@
 pub use files::{ProcessSlot, SharedFiles};
 pub use sync::SYNC_INTERVAL;
 
-/// An operator waits 1 s for an answer.
-const ANSWER_WAIT: Duration = Duration::from_millis(800);
-/// Stack of the thread, in bytes of address space.
-const STACK: usize = 256 << 10;
-/// The times of a drain. The front asks every 0.1 s and sends connections for 0.2 s more, so after 0.7 s nobody comes
-/// who could not know; requests on connections that are still open are taken until what is taken can be 2 s old when
-/// 4 s are over.
-const DRAIN: Terms = Terms { let_go: 700.0, refuse: 1600.0, gone: Some((4000.0, 2000.0)) };
+/// Maximum time for executing a command: an operator waits 1 s for the answer.
+const MAX_COMMAND_TIME: Duration = Duration::from_millis(800);
+/// Stack size of the synchronisation thread, in bytes of address space.
+const SYNC_THREAD_STACK_BYTES: usize = 256 << 10;
+/// The schedule of a drain. The platform's front polls every 0.1 s and sends connections for 0.2 s more, so after
+/// 0.7 s every client can know of the drain. Requests on connections that are still open are accepted until 1.6 s, so
+/// that an accepted request can be 2 s old when all connections must be gone after 4 s.
+const DRAIN_TERMS: Terms = Terms { let_go: 700.0, refuse: 1600.0, gone: Some((4000.0, 2000.0)) };
 
-/// The operators' overrides as this process holds them, alone or beside another process.
+/// Access to the operators' overrides in this process, which may share them with another process.
 #[derive(Clone)]
 pub struct OverridesHandle {
     invoker: Arc<Invoker>,
-    /// To the thread that keeps the files, and what it tells; none where nothing is shared.
+    /// The request queue of the synchronisation thread and the status that it publishes; none if nothing is shared.
     files: Option<(Sender<SyncRequest>, Arc<SyncStatus>)>,
 }
 
 impl OverridesHandle {
-    /// Holds them in memory alone.
+    /// Keeps the overrides in memory only.
     pub fn alone(invoker: &Arc<Invoker>) -> Self {
         OverridesHandle { invoker: invoker.clone(), files: None }
     }
 
-    /// Shares them by files, too; `on_succession` is told whenever the number of processes changes.
+    /// Shares the overrides through files. `on_succession` is called with the number of processes whenever it changes.
     pub fn beside(
         invoker: &Arc<Invoker>,
         files: SharedFiles,
@@ -56,29 +57,29 @@
         let (requests, queue) = channel();
         let sync = OverridesSync::new(invoker, files);
         let status = sync.status.clone();
-        let thread = std::thread::Builder::new().name("handover".into()).stack_size(STACK);
+        let thread = std::thread::Builder::new().name("handover".into()).stack_size(SYNC_THREAD_STACK_BYTES);
         thread.spawn(move || sync.run(&queue, on_succession))?;
         Ok(OverridesHandle { invoker: invoker.clone(), files: Some((requests, status)) })
     }
 
-    /// The processes that serve.
+    /// This process's relation to the other process of the invoker.
     pub fn succession(&self) -> Succession {
         self.files.as_ref().map_or_else(Succession::default, |(_, status)| *lock(&status.succession))
     }
 
-    /// Tells the other process that this one serves.
+    /// Announces to the other process that this one is ready to serve.
     pub fn announce_ready(&self) {
         if let Some((requests, _)) = &self.files {
             let _ = requests.send(SyncRequest::AnnounceReady);
         }
     }
 
-    /// Whether the overrides on disk are known here: before that a successor must not serve.
+    /// Whether the overrides on disk have been read. A successor must not serve before that.
     pub fn has_overrides(&self) -> bool {
         self.files.as_ref().is_none_or(|(_, status)| status.has_overrides.load(Ordering::Acquire))
     }
 
-    /// Does what operators ask for.
+    /// Executes an operator's command.
     pub fn execute(&self, command: OperatorCommand) -> Result<(), CommandError> {
         let invoker = &self.invoker;
         match &command {
@@ -96,17 +97,17 @@
             apply_overrides(invoker, &overrides);
             return Ok(());
         };
-        let (sender, answer) = answers::channel();
+        let (sender, answer) = coroutine_mpsc::channel();
         let _ = requests.send(SyncRequest::Execute(command, sender));
-        timers::receive(&answer, ANSWER_WAIT).unwrap_or(Err(CommandError::Unwritten))
+        timers::receive(&answer, MAX_COMMAND_TIME).unwrap_or(Err(CommandError::Unwritten))
     }
 }
 
-/// Makes overrides hold in this process.
+/// Applies overrides to this process.
 fn apply_overrides(invoker: &Arc<Invoker>, overrides: &Overrides) {
     invoker.adopt(overrides.bans.clone());
     match (overrides.drained, invoker.duty().leaving()) {
-        (true, None) => invoker.leave(Leave::Drained, DRAIN),
+        (true, None) => invoker.leave(Leave::Drained, DRAIN_TERMS),
         (false, Some(Leave::Drained)) => _ = invoker.come_back(),
         _ => {}
     }
--- a/crates/node/src/life/handover/command.rs
+++ b/crates/node/src/life/handover/command.rs
@@ -1,46 +1,49 @@
-//! What operators may ask for, and why it is not done.
+//! Operators' commands and the reasons for which they fail.
 use crate::memory::roster::BanError;
 use corkbay_duty::Overrides;
 
-/// What operators may ask for.
+/// A command of an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OperatorCommand {
-    /// Nothing more to that host.
+    /// Suspends a host: no more calls are sent to it.
     Suspend(String),
-    /// That host may serve again.
+    /// Lifts the suspension of a host.
     Resume(String),
-    /// No more clients.
+    /// Drains this invoker: it takes no more clients.
     Drain,
-    /// Clients again.
+    /// Ends the drain: the invoker takes clients again.
     Activate,
 }
 
 impl OperatorCommand {
-    /// Whether it holds something back: that takes effect before it is written, and what lifts something after.
-    pub(super) fn holds_back(&self) -> bool {
+    /// Whether the command restricts service. Such a command takes effect before it is written to the file; one that
+    /// lifts a restriction takes effect after.
+    pub(super) fn restricts(&self) -> bool {
         matches!(self, OperatorCommand::Suspend(_) | OperatorCommand::Drain)
     }
 
-    pub(super) fn apply(&self, overrides: &mut Overrides, now: f64) {
+    /// Changes the overrides as the command demands; `now_ms` is the monotonic time.
+    pub(super) fn apply(&self, overrides: &mut Overrides, now_ms: f64) {
         match self {
-            OperatorCommand::Suspend(name) => _ = overrides.bans.suspend(name, now),
-            OperatorCommand::Resume(name) => _ = overrides.bans.resume(name, now),
+            OperatorCommand::Suspend(name) => _ = overrides.bans.suspend(name, now_ms),
+            OperatorCommand::Resume(name) => _ = overrides.bans.resume(name, now_ms),
             OperatorCommand::Drain => overrides.drained = true,
             OperatorCommand::Activate => overrides.drained = false,
         }
     }
 }
 
-/// Why what was asked for is not so.
+/// Why a command was not executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CommandError {
-    /// No list ever named the host.
+    /// The host was never in any list of workers.
     Unknown,
-    /// There is no room for one more name.
+    /// There is no room for another suspended host.
     NoRoom,
-    /// The process is about to end.
+    /// The process is shutting down.
     Ending,
-    /// It could not be written, or not in time: what is held back is held back here, what was to be lifted is not.
+    /// The command could not be written to the shared file in time. A restriction holds in this process all the same;
+    /// the lifting of one has no effect.
     Unwritten,
 }
 
--- a/crates/node/src/life/handover/files.rs
+++ b/crates/node/src/life/handover/files.rs
@@ -1,7 +1,9 @@
-//! The files that two processes of one invoker share. Their names are those of earlier versions, which may run beside this one.
+//! The files that two processes of one invoker share. The file names are those of earlier versions, as a process of
+//! such a version may run at the same time.
 //!
-//! The overrides are one record, replaced by rename under a lock. Each process holds one of two slots by a lock for as long
-//! as it lives, and notes there that it serves. All files are met on one thread: coroutines must not wait for a disk.
+//! The overrides are one record, replaced by rename under a lock. Each process holds the lock of one of two slot
+//! files as long as it runs, and writes there that it is ready. One thread does all file access: coroutines must not
+//! wait for a disk.
 use crate::clock::{machine_clock_ahead_ms, monotonic_ms, UnixTime};
 use corkbay_duty::{BadRecord, Clocks, Overrides, Seen, Succession, MOST};
 use std::fs::{File, OpenOptions, TryLockError};
@@ -10,27 +12,31 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-/// The record of the overrides, where a damaged one is set aside, the lock on it, and the slots before their numbers.
+/// The record of the overrides.
 const OVERRIDES_FILE: &str = "word";
+/// Where a damaged record is moved.
 const DAMAGED_FILE: &str = "word.damaged";
+/// The file whose lock guards the record.
 const LOCK_FILE: &str = "lock";
-const SLOT_FILE: &str = "seat-";
-/// Longest wait for a slot, which somebody may be looking at, and for the lock on the record.
-const LOCK_WAIT: Duration = Duration::from_millis(500);
-const LOCK_PAUSE: Duration = Duration::from_millis(5);
-/// What a slot says once its process serves.
+/// The name of a slot file without its number.
+const SLOT_FILE_PREFIX: &str = "seat-";
+/// Maximum wait for the lock on the record, or on a slot, which the other process locks briefly to check it.
+const MAX_LOCK_WAIT: Duration = Duration::from_millis(500);
+/// Pause between two attempts to take a lock.
+const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(5);
+/// The content of a slot file once its process is ready.
 const READY: &[u8] = b"ready\n";
 
-/// What changes whenever the record is replaced.
+/// File metadata that changes whenever the record is replaced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct RecordMark {
+pub(super) struct RecordMetadata {
     inode: u64,
-    /// Seconds and nanoseconds.
+    /// Modification time, in seconds and nanoseconds.
     modified: (i64, i64),
     bytes: u64,
 }
 
-/// The files of one invoker, with the slot that this process holds.
+/// The shared files of one invoker, with the slot that this process holds.
 pub struct SharedFiles {
     folder: PathBuf,
     pub(super) number: usize,
@@ -39,9 +45,9 @@
     pub(super) succession: Succession,
 }
 
-/// The slot of this process in the folder that two processes of one invoker share.
+/// The slot of this process in the shared folder of its invoker.
 pub struct ProcessSlot {
-    /// The folder that they share.
+    /// The shared folder.
     pub folder: PathBuf,
     /// The number of this process's slot, 0 or 1.
     pub number: usize,
@@ -55,12 +61,12 @@
 }
 
 impl SharedFiles {
-    /// Takes a slot in the folder, which is made where there is none. [`io::ErrorKind::WouldBlock`] where both slots
-    /// are taken.
+    /// Takes a slot in the folder, which is created if missing. Fails with [`io::ErrorKind::WouldBlock`] if both
+    /// slots are taken.
     pub fn join(folder: &Path) -> io::Result<Self> {
         std::fs::create_dir_all(folder)?;
         let open = |number: usize| {
-            let path = folder.join(format!("{SLOT_FILE}{number}"));
+            let path = folder.join(format!("{SLOT_FILE_PREFIX}{number}"));
             OpenOptions::new().read(true).write(true).create(true).truncate(false).open(path)
         };
         let slots = [open(0)?, open(1)?];
@@ -70,7 +76,7 @@
         write_slot(&mut slot, b"")?;
         let (folder, succession) = (folder.to_path_buf(), Succession::default());
         let mut files = SharedFiles { folder, number, slot, other, succession };
-        files.succession = Succession::new(files.look_at_other());
+        files.succession = Succession::new(files.check_other_slot());
         Ok(files)
     }
 
@@ -79,14 +85,15 @@
         ProcessSlot { folder: self.folder.clone(), number: self.number }
     }
 
-    /// Into how many parts the invoker's limits go.
+    /// The number of processes that share the invoker's limits.
     pub fn parts(&self) -> usize {
         self.succession.parts()
     }
 
-    pub(super) fn look_at_other(&mut self) -> Seen {
+    /// The state of the other process's slot.
+    pub(super) fn check_other_slot(&mut self) -> Seen {
         match self.other.try_lock_shared() {
-            // Nobody holds it; the look itself must not.
+            // No process holds the slot. The lock taken for this check must be released.
             Ok(()) => {
                 let _ = self.other.unlock();
                 Seen::Empty
@@ -99,6 +106,7 @@
         }
     }
 
+    /// Reads the record; none if there is no file.
     pub(super) fn read(&self) -> Option<Result<Overrides, BadRecord>> {
         let file = match File::open(self.folder.join(OVERRIDES_FILE)) {
             Err(error) if error.kind() == io::ErrorKind::NotFound => return None,
@@ -112,42 +120,47 @@
         }
     }
 
-    /// What changes whenever the record is replaced.
-    pub(super) fn mark(&self) -> Option<RecordMark> {
-        let data = std::fs::metadata(self.folder.join(OVERRIDES_FILE)).ok()?;
-        Some(RecordMark { inode: data.ino(), modified: (data.mtime(), data.mtime_nsec()), bytes: data.len() })
+    /// The metadata of the current record; none if there is no file.
+    pub(super) fn metadata(&self) -> Option<RecordMetadata> {
+        let metadata = std::fs::metadata(self.folder.join(OVERRIDES_FILE)).ok()?;
+        Some(RecordMetadata {
+            inode: metadata.ino(),
+            modified: (metadata.mtime(), metadata.mtime_nsec()),
+            bytes: metadata.len(),
+        })
     }
 
-    /// Notes in the slot that this process serves.
+    /// Writes to the slot that this process is ready.
     pub(super) fn announce_ready(&mut self) -> io::Result<()> {
         write_slot(&mut self.slot, READY)
     }
 
-    /// Sets a damaged record aside.
-    pub(super) fn set_aside(&self) -> io::Result<()> {
+    /// Moves a damaged record to another name.
+    pub(super) fn move_damaged(&self) -> io::Result<()> {
         std::fs::rename(self.folder.join(OVERRIDES_FILE), self.folder.join(DAMAGED_FILE))
     }
 
-    /// Runs a task that nobody else runs meanwhile.
-    pub(super) fn alone<T>(&self, task: impl FnOnce() -> io::Result<T>) -> io::Result<T> {
+    /// Runs a task under the lock on the record.
+    pub(super) fn with_lock<T>(&self, task: impl FnOnce() -> io::Result<T>) -> io::Result<T> {
         let path = self.folder.join(LOCK_FILE);
         let lock = OpenOptions::new().write(true).create(true).truncate(false).open(path)?;
         lock_first_free(std::slice::from_ref(&lock))?.ok_or(io::ErrorKind::TimedOut)?;
         task()
     }
 
+    /// Replaces the record.
     pub(super) fn write(&self, overrides: &Overrides) -> io::Result<()> {
-        let fresh = self.folder.join(format!("{OVERRIDES_FILE}.{}", self.number));
-        let mut file = File::create(&fresh)?;
+        let temporary = self.folder.join(format!("{OVERRIDES_FILE}.{}", self.number));
+        let mut file = File::create(&temporary)?;
         file.write_all(&overrides.encode(shared_clocks()))?;
         file.sync_data()?;
-        std::fs::rename(&fresh, self.folder.join(OVERRIDES_FILE))
+        std::fs::rename(&temporary, self.folder.join(OVERRIDES_FILE))
     }
 }
 
-/// Locks the first of the files that is free; tells which, or none where all stay locked for [`LOCK_WAIT`].
+/// Locks the first free file and returns its index; none if all stay locked for [`MAX_LOCK_WAIT`].
 fn lock_first_free(files: &[File]) -> io::Result<Option<usize>> {
-    let end = Instant::now() + LOCK_WAIT;
+    let end = Instant::now() + MAX_LOCK_WAIT;
     loop {
         for (number, file) in files.iter().enumerate() {
             match file.try_lock() {
@@ -159,11 +172,11 @@
         if Instant::now() >= end {
             return Ok(None);
         }
-        std::thread::sleep(LOCK_PAUSE);
+        std::thread::sleep(LOCK_RETRY_INTERVAL);
     }
 }
 
-/// The clocks by which two processes can date what they share.
+/// The clock readings by which two processes convert the times in shared records.
 fn shared_clocks() -> Clocks {
     let now = monotonic_ms();
     Clocks { now, machine_ahead: machine_clock_ahead_ms(), wall_ahead: UnixTime::of(now).as_ms() - now }
--- a/crates/node/src/life/handover/sync.rs
+++ b/crates/node/src/life/handover/sync.rs
@@ -1,42 +1,43 @@
-//! The thread that keeps the shared files and this process in step.
-use super::files::{RecordMark, SharedFiles};
+//! The thread that synchronises the shared files with this process.
+use super::files::{RecordMetadata, SharedFiles};
 use super::{apply_overrides, CommandError, OperatorCommand};
 use crate::core::{lock, monotonic_ms, Invoker};
 use corkbay_duty::{look, Look, Overrides, Succession};
-use may::sync::{mpsc as answers, Mutex};
+use may::sync::{mpsc as coroutine_mpsc, Mutex};
 use std::io;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How often the files are looked at: what one process is told binds the other within 2 s.
+/// Polling interval of the shared files: a command to one process must take effect in the other within 2 s.
 pub const SYNC_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What the thread is asked for.
+/// A request to the synchronisation thread.
 pub(super) enum SyncRequest {
-    Execute(OperatorCommand, answers::Sender<Result<(), CommandError>>),
-    /// This process serves.
+    /// Execute a command and send its result.
+    Execute(OperatorCommand, coroutine_mpsc::Sender<Result<(), CommandError>>),
+    /// Announce that this process is ready.
     AnnounceReady,
 }
 
-/// What the thread tells all others.
+/// The status that the synchronisation thread publishes to all others.
 pub(super) struct SyncStatus {
     pub succession: Mutex<Succession>,
-    /// The overrides on disk are known here.
+    /// Whether the overrides on disk have been read.
     pub has_overrides: AtomicBool,
 }
 
-/// Keeps the files and this process in step.
+/// Synchronises the shared files with this process.
 pub(super) struct OverridesSync {
     pub(super) invoker: Arc<Invoker>,
     pub(super) files: SharedFiles,
-    /// The overrides that hold here; none before those on disk were read.
+    /// The overrides in effect in this process; none before those on disk have been read.
     known: Option<Overrides>,
-    /// The mark of the record that was read last, if there was one.
-    seen: Option<Option<RecordMark>>,
+    /// The metadata of the record that was read last: `Some(None)` if there was no file, none before the first read.
+    last_read: Option<Option<RecordMetadata>>,
     pub(super) status: Arc<SyncStatus>,
-    /// The last look met a failure, which is logged once.
+    /// Whether the last synchronisation failed; consecutive failures are logged once.
     failing: bool,
 }
 
@@ -45,13 +46,13 @@
         let status =
             SyncStatus { succession: Mutex::new(files.succession), has_overrides: AtomicBool::new(false) };
         let (invoker, status) = (invoker.clone(), Arc::new(status));
-        OverridesSync { invoker, files, known: None, seen: None, status, failing: false }
+        OverridesSync { invoker, files, known: None, last_read: None, status, failing: false }
     }
 
     pub(super) fn run(mut self, queue: &Receiver<SyncRequest>, on_succession: impl Fn(usize)) {
         loop {
-            self.look_at_other_process(&on_succession);
-            if let Err(error) = self.look_at_overrides() {
+            self.check_other_process(&on_succession);
+            if let Err(error) = self.sync_overrides() {
                 if !std::mem::replace(&mut self.failing, true) {
                     tracing::error!(%error, "handover: the operators' overrides can't be kept in a file");
                 }
@@ -60,9 +61,9 @@
             }
             match queue.recv_timeout(SYNC_INTERVAL) {
                 Ok(SyncRequest::Execute(command, answer)) => {
-                    let end = self.execute(&command);
-                    // Nobody may wait any more.
-                    let _ = answer.send(end);
+                    let result = self.execute(&command);
+                    // Fails if the operator's request has timed out.
+                    let _ = answer.send(result);
                 }
                 Ok(SyncRequest::AnnounceReady) => {
                     if let Err(error) = self.files.announce_ready() {
@@ -75,8 +76,8 @@
         }
     }
 
-    fn look_at_other_process(&mut self, on_succession: &impl Fn(usize)) {
-        let seen = self.files.look_at_other();
+    fn check_other_process(&mut self, on_succession: &impl Fn(usize)) {
+        let seen = self.files.check_other_slot();
         let (changed, parts) = {
             let mut succession = lock(&self.status.succession);
             (succession.look(seen), succession.parts())
@@ -87,44 +88,45 @@
         }
     }
 
-    pub(super) fn look_at_overrides(&mut self) -> io::Result<()> {
-        let mark = self.files.mark();
-        if self.seen == Some(mark) && self.known.is_some() {
+    pub(super) fn sync_overrides(&mut self) -> io::Result<()> {
+        let metadata = self.files.metadata();
+        if self.last_read == Some(metadata) && self.known.is_some() {
             return Ok(());
         }
         match look(self.files.read(), self.known.as_ref()) {
             Look::Same => {}
-            Look::Newer(overrides) => self.know(overrides),
+            Look::Newer(overrides) => self.adopt(overrides),
             Look::Restore => self.restore()?,
             Look::Wait if lock(&self.status.succession).other().is_some() => return Ok(()),
             Look::Wait => {
                 tracing::error!(
                     "handover: the operators' overrides are damaged and nobody knows what it said"
                 );
-                self.know(Overrides::default());
-                self.files.set_aside()?;
+                self.adopt(Overrides::default());
+                self.files.move_damaged()?;
             }
         }
-        self.seen = Some(mark);
+        self.last_read = Some(metadata);
         Ok(())
     }
 
-    fn know(&mut self, overrides: Overrides) {
+    /// Applies overrides and remembers them as the current ones.
+    fn adopt(&mut self, overrides: Overrides) {
         apply_overrides(&self.invoker, &overrides);
         self.known = Some(overrides);
         self.status.has_overrides.store(true, Ordering::Release);
     }
 
-    /// Writes what is known, unless somebody who knows better wrote meanwhile.
+    /// Writes the known overrides again, unless the other process has written newer ones.
     fn restore(&mut self) -> io::Result<()> {
         let Some(known) = self.known.clone() else { return Ok(()) };
-        let newer = self.files.alone(|| match look(self.files.read(), Some(&known)) {
+        let newer = self.files.with_lock(|| match look(self.files.read(), Some(&known)) {
             Look::Newer(overrides) => Ok(Some(overrides)),
             Look::Restore => self.files.write(&known).map(|()| None),
             Look::Same | Look::Wait => Ok(None),
         })?;
         if let Some(overrides) = newer {
-            self.know(overrides);
+            self.adopt(overrides);
         }
         Ok(())
     }
@@ -137,11 +139,11 @@
             overrides.version += 1;
             overrides
         };
-        if command.holds_back() {
-            // At once, whatever becomes of the file.
+        if command.restricts() {
+            // A restriction takes effect at once, whether or not the file can be written.
             apply_overrides(&self.invoker, &next(before.clone()));
         }
-        let written = self.files.alone(|| {
+        let written = self.files.with_lock(|| {
             let overrides = next(match look(self.files.read(), Some(&before)) {
                 Look::Newer(overrides) => overrides,
                 Look::Same | Look::Restore | Look::Wait => before.clone(),
@@ -150,15 +152,15 @@
         });
         match written {
             Ok(overrides) => {
-                self.know(overrides);
+                self.adopt(overrides);
                 Ok(())
             }
             Err(error) => {
                 tracing::error!(%error, ?command, "handover: not written");
-                if command.holds_back() {
-                    // Newer than what stands: written as soon as that can be done.
-                    self.know(next(before));
-                    self.seen = None;
+                if command.restricts() {
+                    // The overrides here are now newer than the record; it is written as soon as possible.
+                    self.adopt(next(before));
+                    self.last_read = None;
                 }
                 Err(CommandError::Unwritten)
             }
--- a/crates/node/src/life/platform.rs
+++ b/crates/node/src/life/platform.rs
@@ -1,4 +1,4 @@
-//! The daemon on the platform: start, service, drain.
+//! Runs the daemon on the hosting platform: start-up, serving, handover to a successor and shutdown.
 use super::accounts::{self, FleetSize};
 use super::config::{ConfigError, Platform, Source};
 use super::handover::{self, OverridesHandle, SharedFiles};
@@ -19,62 +19,72 @@
 use std::sync::{Arc, OnceLock};
 use std::time::{Duration, Instant};
 
-/// Words of a coroutine's stack: 128 KiB of address space, of which only what is touched is memory.
+/// Stack size of a coroutine in words: 128 KiB of address space, of which only touched pages use memory.
 const STACK_WORDS: usize = 0x4000;
-/// Most stacks that are kept for coming tasks. They are used in turn, so that what one of them touches all of them come to hold.
-const IDLE_STACKS: usize = 64;
-/// After SIGTERM connections go on coming for up to 0.4 s and requests on open ones for 0.2 s more; what comes
-/// later than this is lost if it has no answer when SIGKILL comes, so it is refused.
-pub const STILL_TAKING: Duration = Duration::from_millis(700);
-/// With a successor, what comes on connections that are owed something is taken for so long.
-const SUCCEEDED_TAKES: Duration = Duration::from_millis(1000);
-/// Room is made for one worker in so many more than are known.
-const SPARE_PART: usize = 8;
-/// How often an end is looked at.
-const END_LOOK: Duration = Duration::from_millis(10);
-/// Longest wait of a successor for the command channel: it is due to serve within 6 s, news or none.
-const CHANNEL_WAIT: Duration = Duration::from_secs(3);
-/// By then the other process has looked at the seat of this one twice.
-const SEEN_BY_OTHER: Duration = Duration::from_millis(4 * handover::SYNC_INTERVAL.as_millis() as u64);
-const NEWS_LOOK: Duration = Duration::from_millis(10);
-const NEWS_REST: Duration = Duration::from_millis(100);
-/// How often connections are looked at that are drained.
-const DRAIN_LOOK: Duration = Duration::from_millis(20);
-/// SIGKILL comes no sooner than the longest deadline after that, which counts as this at most.
-const LONGEST_COUNTED: Duration = Duration::from_secs(3);
-/// Longest wait for connections on which nothing is owed to end with their process.
-const WIND_UP: Duration = Duration::from_millis(500);
-/// What is still owed so long before SIGKILL is ended.
-const LAST_ANSWERS: Duration = Duration::from_millis(250);
-/// Descriptors for all but clients and workers: the program's own, the command channel's, the operators', and those of
-/// connections that pass to another process.
-const RESERVE: usize = 40;
-/// Those of the operators' address, of the reserve: its listener and its callers.
-const _: () = assert!(operators::SEATS + 1 < RESERVE / 2);
+/// Maximum number of idle stacks unchanged in the pool. They are reused in turn, so in time each of them holds as many
+/// touched pages as the deepest task needs.
+const MAX_IDLE_STACKS: usize = 64;
+/// How long new requests are accepted after SIGTERM. Clients open connections for up to 0.4 s after it and send
+/// requests on open ones for 0.2 s more. A later request would be lost if it had no answer by SIGKILL, so it is
+/// refused.
+pub const ACCEPT_AFTER_SIGTERM: Duration = Duration::from_millis(700);
+/// How long new requests are accepted after SIGTERM on connections with unanswered requests if there is a successor.
+const ACCEPT_AFTER_SIGTERM_WITH_SUCCESSOR: Duration = Duration::from_millis(1000);
+/// Spare room in the worker accounts: one additional worker for every this many known workers.
+const WORKERS_PER_SPARE: usize = 8;
+/// Polling interval during shutdown.
+const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Maximum time a successor waits for the command channel. It must serve within 6 s, even if the channel does not
+/// answer.
+const MAX_CHANNEL_WAIT: Duration = Duration::from_secs(3);
+/// After this time the other process has checked this process's slot at least twice.
+const OTHER_PROCESS_NOTICE_TIME: Duration =
+    Duration::from_millis(4 * handover::SYNC_INTERVAL.as_millis() as u64);
+/// Polling interval while waiting for the overrides and the command channel.
+const SYNC_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Time for the events that were queued in the command channel to resume.
+const CHANNEL_CATCH_UP_TIME: Duration = Duration::from_millis(100);
+/// Polling interval for connections that are being drained.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Upper bound on the longest request deadline in the shutdown schedule: SIGKILL comes no sooner than that deadline
+/// (at most this long) after new requests stop being accepted.
+const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
+/// Maximum time for closing connections that have no unanswered requests at shutdown.
+const MAX_CLOSE_TIME: Duration = Duration::from_millis(500);
+/// Requests that are still unanswered this long before SIGKILL are terminated, so that their answers can be written.
+const FINAL_ANSWER_TIME: Duration = Duration::from_millis(250);
+/// File descriptors reserved for everything but clients and workers: the program's own, the command channel, operators,
+/// and connections that are handed over to another process.
+const RESERVED_DESCRIPTORS: usize = 40;
+/// The operators' listener and connections come out of the reserved descriptors.
+const _: () = assert!(operators::SEATS + 1 < RESERVED_DESCRIPTORS / 2);
 
-/// Most connections of clients and to workers, one descriptor each. Usual clients hold a third of the limit
-/// at most; what they get beyond that is for those that connect and say nothing.
-pub fn connections(sockets: usize) -> (usize, usize) {
-    let left = sockets.saturating_sub(RESERVE);
+/// Splits a descriptor limit into the maximum number of client connections and of worker connections, one descriptor
+/// each. Clients normally use a third of the limit at most; the rest of their part absorbs clients that connect and
+/// send nothing.
+pub fn split_descriptors(sockets: usize) -> (usize, usize) {
+    let left = sockets.saturating_sub(RESERVED_DESCRIPTORS);
     let clients = (left / 2).max(1);
     (clients, (left - clients.min(left)).max(1))
 }
 
-/// Sets the coroutine library up; before the first coroutine.
+/// Configures the coroutine library. Must be called before the first coroutine starts.
 pub fn set_up_coroutines() {
-    // One core: more workers would only contend. Pinned, all invokers of a machine would share core 0.
+    // The process runs on one core, where more threads would only contend. With pinned threads, all invokers of a
+    // machine would share core 0.
     let config = may::config();
     config.set_workers(1).set_worker_pin(false);
-    config.set_stack_size(STACK_WORDS).set_pool_capacity(IDLE_STACKS);
+    config.set_stack_size(STACK_WORDS).set_pool_capacity(MAX_IDLE_STACKS);
 }
 
-/// What the invoker may take in all, and the part of it that is this process's while another lives beside it.
-struct Limits {
+/// The resource limits of the invoker, and this process's part of them while another process of the invoker runs.
+struct ProcessLimits {
     memory_mb: AtomicU64,
     sockets: usize,
-    base: usize,
+    base_bytes: usize,
+    /// Number of processes that share the limits.
     parts: AtomicUsize,
-    /// Workers that the accounts have room for.
+    /// Number of workers that the accounts have room for.
     fleet_workers: AtomicUsize,
     classes: usize,
     ledger: Arc<Ledger>,
@@ -82,33 +92,34 @@
     acceptor: OnceLock<Arc<Acceptor>>,
 }
 
-impl Limits {
-    /// Adopts the limits as they are now.
+impl ProcessLimits {
+    /// Applies the current limits to the ledger and to the connections.
     fn adopt(&self) -> Result<(), ConfigError> {
         let (memory, parts) = (self.memory_mb.load(Ordering::Relaxed), self.parts.load(Ordering::Relaxed));
-        self.ledger.adopt(&budget(memory, self.base, parts, self.fleet())?);
-        let (clients, to_workers) = connections(self.sockets / parts);
+        self.ledger.adopt(&budget(memory, self.base_bytes, parts, self.fleet_size())?);
+        let (clients, to_workers) = split_descriptors(self.sockets / parts);
         self.workers.set_most(to_workers);
         self.acceptor.get().into_iter().for_each(|acceptor| acceptor.set_most(clients));
         Ok(())
     }
 
-    fn fleet(&self) -> FleetSize {
+    fn fleet_size(&self) -> FleetSize {
         FleetSize { workers: self.fleet_workers.load(Ordering::Relaxed), classes: self.classes }
     }
 
-    /// Makes room for so many workers, at the expense of what else is held.
+    /// Makes room for this many workers, at the expense of the other accounts.
     fn make_room_for(&self, workers: usize) {
         if self.fleet_workers.load(Ordering::Relaxed) >= workers {
             return;
         }
-        // Some more, so that a list that grows one by one is not planned for each time.
-        self.fleet_workers.store(workers + workers / SPARE_PART, Ordering::Relaxed);
+        // Includes spare room, so that a list that grows one worker at a time does not cause a new plan each time.
+        self.fleet_workers.store(workers + workers / WORKERS_PER_SPARE, Ordering::Relaxed);
         if let Err(error) = self.adopt() {
             tracing::error!(%error, workers, "no room can be made for workers");
         }
     }
 
+    /// Divides the limits among this many processes.
     fn share(&self, parts: usize) {
         self.parts.store(parts, Ordering::Relaxed);
         if let Err(error) = self.adopt() {
@@ -117,19 +128,20 @@
     }
 }
 
-/// The caps of one of so many processes. Where a part is less than any process needs, the whole is kept: it is for some
-/// seconds, and what is held counts as it is held.
-fn budget(memory_mb: u64, base: usize, parts: usize, fleet: FleetSize) -> Result<Budget, ConfigError> {
-    accounts::platform_budget(memory_mb, base, parts, fleet).or_else(|error| {
+/// The memory caps of one of `parts` processes. If that part is less than a process needs, each process keeps the whole
+/// limit: both run for a few seconds only, and only memory that is held counts.
+fn budget(memory_mb: u64, base_bytes: usize, parts: usize, fleet: FleetSize) -> Result<Budget, ConfigError> {
+    accounts::platform_budget(memory_mb, base_bytes, parts, fleet).or_else(|error| {
         tracing::warn!(%error, parts, "too little memory to be shared");
-        accounts::platform_budget(memory_mb, base, 1, fleet)
+        accounts::platform_budget(memory_mb, base_bytes, 1, fleet)
     })
 }
 
-/// Takes a seat beside a process of the same invoker, where operators are heard and there is a folder for both.
+/// Takes a slot in the folder shared with another process of the same invoker; none without an operators' address or a
+/// shared folder.
 fn join(config: &Platform, source: &Source) -> Option<SharedFiles> {
     let (_, shared) = (config.admin?, source.shared.as_ref()?);
-    // More than one invoker may be given the same folder.
+    // Several invokers may be given the same parent folder.
     let folder = shared.join(format!("corkbay-{}", config.listen.to_string().replace(':', "-")));
     SharedFiles::join(&folder)
         .inspect_err(
@@ -138,27 +150,27 @@
         .ok()
 }
 
-/// Serves until a signal ends it and nothing is owed; true if all was answered.
+/// Serves until a signal stops the process; returns true if all requests were answered.
 pub fn run(config: Platform, source: &Source) -> Result<bool, ConfigError> {
     let mut signals = signals()?;
-    let base = accounts::measured_base();
+    let base_bytes = accounts::measured_base();
     let files = join(&config, source);
     let slot = files.as_ref().map(SharedFiles::slot);
     let parts = files.as_ref().map_or(1, SharedFiles::parts);
     let classes = config.settings["classes"].as_array().map_or(1, Vec::len);
     let fleet = FleetSize { workers: 0, classes };
-    let caps = budget(config.memory_mb, base, parts, fleet)?;
+    let caps = budget(config.memory_mb, base_bytes, parts, fleet)?;
     let ledger = Arc::new(Ledger::new(&caps, &accounts::tenants(&config.settings)));
-    let (clients, to_workers) = connections(config.sockets / parts);
-    let to_workers = limits(&config.settings, to_workers, MAX_BODY);
+    let (clients, to_workers) = split_descriptors(config.sockets / parts);
+    let to_workers = worker_limits(&config.settings, to_workers, MAX_BODY);
     let workers = Arc::new(FrameWorkers::new(to_workers, ledger.account(Purpose::Workers).clone()));
     let invoker = Invoker::new(&config.settings, config.seed, workers.clone(), ledger.clone());
     accounts::watch(&invoker);
     invoker.watch_for_stalls();
-    let limits = Arc::new(Limits {
+    let limits = Arc::new(ProcessLimits {
         memory_mb: AtomicU64::new(config.memory_mb),
         sockets: config.sockets,
-        base,
+        base_bytes,
         parts: AtomicUsize::new(parts),
         fleet_workers: AtomicUsize::new(0),
         classes,
@@ -166,10 +178,10 @@
         workers,
         acceptor: OnceLock::new(),
     });
-    let planned = limits.clone();
-    invoker.on_workers(move |workers| planned.make_room_for(workers));
-    for news in config.known {
-        news.remember(&invoker);
+    let worker_room = limits.clone();
+    invoker.on_workers(move |workers| worker_room.make_room_for(workers));
+    for event in config.known {
+        event.remember(&invoker);
     }
     let overrides = match files {
         Some(files) => {
@@ -185,139 +197,150 @@
             ConnectionLimits { most: operators::SEATS, stall: operators::WRITE_STALL, account };
         let acceptor =
             Acceptor::open(admin, client_limits).map_err(|error| ConfigError::new("admin", error))?;
-        let (ours, overrides) = (invoker.clone(), overrides.clone());
-        spawn(move || acceptor.accept(move |connection| operators::serve(&ours, &overrides, &connection)));
+        let (task_invoker, overrides) = (invoker.clone(), overrides.clone());
+        spawn(move || {
+            acceptor.accept(move |connection| operators::serve(&task_invoker, &overrides, &connection))
+        });
     }
-    let (ours, line, cursor) = (invoker.clone(), Line::new(config.channel), config.cursor);
+    let (task_invoker, command_channel, cursor) = (invoker.clone(), Line::new(config.channel), config.cursor);
     let reload = {
-        let (line, listen, settings) = (line.clone(), config.listen, config.settings.clone());
+        let (command_channel, listen, settings) =
+            (command_channel.clone(), config.listen, config.settings.clone());
         let (admin, limits) = (config.admin, limits.clone());
         move || {
             let next = source.read()?;
-            accounts::platform_budget(next.memory_mb, base, 1, limits.fleet())?;
+            accounts::platform_budget(next.memory_mb, base_bytes, 1, limits.fleet_size())?;
             limits.memory_mb.store(next.memory_mb, Ordering::Relaxed);
             limits.adopt()?;
-            line.move_to(next.channel);
-            let kept = [
+            command_channel.move_to(next.channel);
+            let restart_only = [
                 ("listen", next.listen == listen),
                 ("admin", next.admin == admin),
                 ("settings", next.settings == settings),
             ];
-            for (key, kept) in kept {
-                if !kept {
+            for (key, unchanged) in restart_only {
+                if !unchanged {
                     tracing::warn!(key, "reload: a key has changed and holds from the next start on");
                 }
             }
             Ok(())
         }
     };
-    let heard = line.clone();
-    spawn(move || channel::follow(&ours, &line, cursor));
-    wait_for_news(&overrides, &heard);
+    let channel = command_channel.clone();
+    spawn(move || channel::follow(&task_invoker, &command_channel, cursor));
+    wait_until_in_sync(&overrides, &channel);
     let account = ledger.account(Purpose::Clients).clone();
     let client_limits = ConnectionLimits { most: clients, stall: front::WRITE_STALL, account };
     let acceptor =
         Acceptor::open(config.listen, client_limits).map_err(|error| ConfigError::new("listen", error))?;
-    // Whoever lived beside this process may have gone since.
+    // The other process may have exited since the limits were set.
     if limits.acceptor.set(acceptor.clone()).is_ok() {
         limits.share(overrides.succession().parts());
     }
-    let passage = Arc::<Passage>::default();
-    let (ours, theirs, onward) = (invoker.clone(), acceptor.clone(), passage.clone());
-    spawn(move || theirs.accept(move |connection| front::serve(&ours, &onward, connection)));
-    let (ours, theirs) = (invoker.clone(), acceptor.clone());
-    spawn(move || drain(&ours, &theirs));
+    let connection_handover = Arc::<Passage>::default();
+    let (task_invoker, task_acceptor, task_handover) =
+        (invoker.clone(), acceptor.clone(), connection_handover.clone());
+    spawn(move || {
+        task_acceptor.accept(move |connection| front::serve(&task_invoker, &task_handover, connection))
+    });
+    let (task_invoker, task_acceptor) = (invoker.clone(), acceptor.clone());
+    spawn(move || drain(&task_invoker, &task_acceptor));
     if let Some(slot) = &slot {
-        let (ours, theirs, onward) = (invoker.clone(), acceptor.clone(), passage.clone());
-        let arrive = move |stream, owed: &[i32]| {
-            theirs.take_over(stream).map(|connection| front::resume(&ours, &onward, connection, owed))
+        let (task_invoker, task_acceptor, task_handover) =
+            (invoker.clone(), acceptor.clone(), connection_handover.clone());
+        let resume = move |stream, owed: &[i32]| {
+            task_acceptor
+                .take_over(stream)
+                .map(|connection| front::resume(&task_invoker, &task_handover, connection, owed))
         };
-        if let Err(error) = passage::listen(&slot.folder, slot.number, arrive) {
+        if let Err(error) = passage::listen(&slot.folder, slot.number, resume) {
             tracing::warn!(%error, "handover: no connections can be taken over");
         }
     }
     overrides.announce_ready();
     if overrides.succession().other().is_some() {
-        // Whoever is told yes may end the other process at once, which has to know by then.
-        std::thread::sleep(SEEN_BY_OTHER);
+        // As soon as this process reports that it serves, the other one may be stopped; that process must know of its
+        // successor by then.
+        std::thread::sleep(OTHER_PROCESS_NOTICE_TIME);
     }
     invoker.serving();
-    let longest = longest_deadline(&config.settings).min(LONGEST_COUNTED);
-    let end = End {
+    let longest = longest_deadline(&config.settings).min(MAX_COUNTED_DEADLINE);
+    let shutdown = Shutdown {
         terms: || {
             let succession = overrides.succession();
             if succession.is_succeeded() {
-                // What stands in the queue is taken; whoever comes later comes to the successor.
+                // Accepts what waits in the listen queue; later clients connect to the successor.
                 acceptor.close();
-                let opened = slot.as_ref().map(|slot| passage.open(&slot.folder, slot.other_number()));
+                let opened =
+                    slot.as_ref().map(|slot| connection_handover.open(&slot.folder, slot.other_number()));
                 if let Some(Err(error)) = opened {
                     tracing::warn!(%error, "handover: no connections can be passed on");
                 }
             }
-            succession.ending(ENDING, SUCCEEDED_TAKES.as_millis() as f64)
+            succession.ending(TERMS_WITHOUT_SUCCESSOR, ACCEPT_AFTER_SIGTERM_WITH_SUCCESSOR.as_millis() as f64)
         },
-        is_over: || overrides.succession().is_succeeded() && acceptor.held() == 0,
+        no_new_clients: || overrides.succession().is_succeeded() && acceptor.held() == 0,
         acceptor: &acceptor,
-        within: STILL_TAKING + longest.saturating_sub(LAST_ANSWERS),
+        terminate_after: ACCEPT_AFTER_SIGTERM + longest.saturating_sub(FINAL_ANSWER_TIME),
     };
-    let settled = serve_until_signalled(&invoker, &mut signals, reload, end);
-    passage.finish();
-    Ok(settled)
+    let all_answered = serve_until_signalled(&invoker, &mut signals, reload, shutdown);
+    connection_handover.finish();
+    Ok(all_answered)
 }
 
-/// Waits until a process beside another knows what that one knows: the operators' overrides, and what the command channel
-/// has to tell. Alone there is nobody who could serve meanwhile.
-fn wait_for_news(overrides: &OverridesHandle, channel: &Line) {
+/// Waits until this process knows the operators' overrides and the events of the command channel, as long as another
+/// process can serve meanwhile. Without another process it returns at once.
+fn wait_until_in_sync(overrides: &OverridesHandle, channel: &Line) {
     let start = Instant::now();
-    let accompanied = || overrides.succession().other().is_some();
-    let deaf = || !channel.is_heard() && start.elapsed() < CHANNEL_WAIT;
-    while accompanied() && (!overrides.has_overrides() || deaf()) {
-        std::thread::sleep(NEWS_LOOK);
+    let has_other_process = || overrides.succession().other().is_some();
+    let is_channel_silent = || !channel.is_heard() && start.elapsed() < MAX_CHANNEL_WAIT;
+    while has_other_process() && (!overrides.has_overrides() || is_channel_silent()) {
+        std::thread::sleep(SYNC_POLL_INTERVAL);
     }
-    // What stood in the channel comes at once, event by event.
-    if accompanied() {
-        std::thread::sleep(NEWS_REST);
+    // Events queued in the channel arrive immediately, one after the other.
+    if has_other_process() {
+        std::thread::sleep(CHANNEL_CATCH_UP_TIME);
     }
 }
 
-/// Lets the connections of clients go whenever they are left, for as long as the process lives.
+/// Drains the client connections whenever the invoker is leaving its clients. Runs until the process exits.
 fn drain(invoker: &Invoker, acceptor: &Acceptor) {
     loop {
         invoker.wait_for_leave();
         if invoker.duty().lets_go(monotonic_ms()) {
             acceptor.drain();
         }
-        timers::sleep(DRAIN_LOOK);
+        timers::sleep(DRAIN_POLL_INTERVAL);
     }
 }
 
-/// The signals that are heeded; those that come from here on are not lost.
+/// Registers the signals that the process handles. Signals that arrive after this call are not lost.
 pub fn signals() -> Result<Signals, ConfigError> {
     Signals::new([SIGTERM, SIGINT, SIGHUP, SIGUSR1]).map_err(|error| ConfigError::new("signals", error))
 }
 
-/// How a process ends.
-pub struct End<'a, T, O> {
-    /// Begins the end: on what terms the clients are left.
+/// How a process shuts down.
+pub struct Shutdown<'a, T, O> {
+    /// Begins the shutdown and returns its schedule for clients.
     pub terms: T,
-    /// Whether no client can come any more, so that the end need not be waited for once nothing is owed.
-    pub is_over: O,
-    /// Where clients come; it ends last.
+    /// Whether no client can connect any more, so that the process can stop once no request is unanswered.
+    pub no_new_clients: O,
+    /// The acceptor of client connections, closed last.
     pub acceptor: &'a Acceptor,
-    /// From its beginning until what is still owed is ended.
-    pub within: Duration,
+    /// Time from the beginning of the shutdown until unanswered requests are terminated.
+    pub terminate_after: Duration,
 }
 
-/// Waits for signals on the main thread: SIGHUP reloads, SIGUSR1 prints the counters, any other ends the
-/// process. Then requests are taken for a little longer, and what was taken has some time to end by itself; SIGHUP and
-/// SIGUSR1 are heeded as before until then.
+/// Handles signals on the main thread: SIGHUP reloads the configuration, SIGUSR1 logs the counters, any other signal
+/// stops the process. During shutdown requests are accepted for a short time, and accepted requests get time to finish;
+/// SIGHUP and SIGUSR1 are still handled until then.
 pub fn serve_until_signalled<T: FnOnce() -> Terms, O: Fn() -> bool>(
     invoker: &Arc<Invoker>,
     signals: &mut Signals,
     reload: impl Fn() -> Result<(), ConfigError>,
-    end: End<T, O>,
+    shutdown: Shutdown<T, O>,
 ) -> bool {
-    let heed = |signal| match signal {
+    let handle = |signal| match signal {
         SIGUSR1 => {
             tracing::info!("{}", invoker.counters);
             let (suspended, leaving) = (invoker.bans().out().count(), invoker.duty().leaving());
@@ -334,51 +357,57 @@
         }
         _ => false,
     };
-    while signals.wait().all(heed) {}
-    let begun = Instant::now();
-    let terms = (end.terms)();
+    while signals.wait().all(handle) {}
+    let shutdown_start = Instant::now();
+    let terms = (shutdown.terms)();
     invoker.leave(Leave::Ending, terms);
-    let still_taking = Duration::from_secs_f64(terms.refuse / 1000.0);
-    let mut heed_more = || signals.pending().for_each(|signal| _ = heed(signal));
-    while begun.elapsed() < still_taking && !((end.is_over)() && invoker.owed() == 0) {
-        std::thread::sleep(END_LOOK);
-        heed_more();
+    let accepting = Duration::from_secs_f64(terms.refuse / 1000.0);
+    let mut handle_pending = || signals.pending().for_each(|signal| _ = handle(signal));
+    while shutdown_start.elapsed() < accepting && !((shutdown.no_new_clients)() && invoker.owed() == 0) {
+        std::thread::sleep(SHUTDOWN_POLL_INTERVAL);
+        handle_pending();
     }
-    let left = |within: Duration| within.saturating_sub(begun.elapsed());
-    let mut settled = invoker.settle(END_LOOK.min(left(end.within)));
-    while !settled && !left(end.within).is_zero() {
-        heed_more();
-        settled = invoker.settle(END_LOOK.min(left(end.within)));
+    let remaining = |limit: Duration| limit.saturating_sub(shutdown_start.elapsed());
+    let mut all_answered = invoker.settle(SHUTDOWN_POLL_INTERVAL.min(remaining(shutdown.terminate_after)));
+    while !all_answered && !remaining(shutdown.terminate_after).is_zero() {
+        handle_pending();
+        all_answered = invoker.settle(SHUTDOWN_POLL_INTERVAL.min(remaining(shutdown.terminate_after)));
     }
-    let settled = settled || {
+    let all_answered = all_answered || {
         invoker.end_all();
-        invoker.settle(LAST_ANSWERS / 2)
+        invoker.settle(FINAL_ANSWER_TIME / 2)
     };
-    end.acceptor.wind_up(WIND_UP.min(left(end.within + 3 * LAST_ANSWERS / 4)));
+    shutdown
+        .acceptor
+        .wind_up(MAX_CLOSE_TIME.min(remaining(shutdown.terminate_after + 3 * FINAL_ANSWER_TIME / 4)));
     tracing::info!("{}", invoker.counters);
-    settled
+    all_answered
 }
 
-/// The terms of an end with nobody to come after this process.
-pub const ENDING: Terms =
-    Terms { let_go: STILL_TAKING.as_millis() as f64, refuse: STILL_TAKING.as_millis() as f64, gone: None };
+/// The shutdown schedule of a process without a successor.
+pub const TERMS_WITHOUT_SUCCESSOR: Terms = Terms {
+    let_go: ACCEPT_AFTER_SIGTERM.as_millis() as f64,
+    refuse: ACCEPT_AFTER_SIGTERM.as_millis() as f64,
+    gone: None,
+};
 
-/// The longest time that a client of any class waits, from the settings object.
+/// The longest deadline of any class, from the settings object: 1 s if none is longer.
 pub fn longest_deadline(settings: &serde_json::Value) -> Duration {
     let classes = settings["classes"].as_array().map(Vec::as_slice).unwrap_or_default();
     let longest = classes.iter().filter_map(|class| class["giveUpMs"].as_f64()).fold(1000.0, f64::max);
     Duration::from_secs_f64(longest.min(1e9) / 1000.0)
 }
 
-/// Figures for worker connections, from the settings object; `answer` is the largest body of an answer.
-pub fn limits(settings: &serde_json::Value, connections: usize, answer: usize) -> WorkerLimits {
+/// Limits of worker connections, from the settings object; `answer` is the maximum body size of an answer, in bytes.
+pub fn worker_limits(settings: &serde_json::Value, connections: usize, answer: usize) -> WorkerLimits {
     let ceiling = |key: &str, default: f64| {
         settings["ceilings"][key].as_f64().filter(|value| *value > 0.0).unwrap_or(default)
     };
     WorkerLimits {
         streams: ceiling("streamsPerConn", 32.0) as usize,
         connect: Duration::from_secs_f64(ceiling("connectTimeoutMs", 250.0) / 1000.0),
-        // Sooner than the worker's own, so that no request crosses its close.
+        // Shorter than the worker's own idle timeout, so that no request is sent while the worker closes the
+        // connection.
         idle: Duration::from_secs_f64(ceiling("connIdleMs", 15_000.0) * 0.7 / 1000.0),
         connections,
         answer,
--- a/crates/node/src/life/service.rs
+++ b/crates/node/src/life/service.rs
@@ -1,8 +1,9 @@
-//! The daemon off the platform: the invoke API over its own store.
+//! Runs the daemon without the hosting platform: the invoke API with a store of its own.
 use super::config::ConfigError;
 use super::deploy::{Deploy, Protocol, Style};
 use super::platform::{
-    connections, limits, longest_deadline, serve_until_signalled, signals, End, ENDING, STILL_TAKING,
+    longest_deadline, serve_until_signalled, signals, split_descriptors, worker_limits, Shutdown,
+    ACCEPT_AFTER_SIGTERM, TERMS_WITHOUT_SUCCESSOR,
 };
 use super::{accounts, spawn};
 use crate::core::{Invoker, Workers};
@@ -25,33 +26,34 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How often expired records are dropped and the log is looked at.
-const SWEEP: Duration = Duration::from_secs(5);
-/// What is owed ends with its deadline; this is for writing the last answers.
-const LAST_ANSWERS: Duration = Duration::from_secs(1);
+/// Interval at which expired records are dropped and the store's log is checked.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(5);
+/// Time for writing the last answers at shutdown, after the longest_ms deadline of the unanswered requests.
+const FINAL_ANSWER_TIME: Duration = Duration::from_secs(1);
 
-/// For how long an end of a deferred call can be collected behind a restart at least.
-const COLLECTED_WITHIN: Duration = Duration::from_secs(60);
+/// Minimum time for which the outcome of a deferred call can be fetched after a restart.
+const MIN_OUTCOME_RETENTION: Duration = Duration::from_secs(60);
 
-/// The wall clock may have been stepped while no process ran: a key is kept for its window at least, an end for long
-/// enough to be collected, and neither for longer than it could have been without a step.
+/// Bounds on how long records are kept after a restart, as the wall clock may have been stepped while no process ran.
+/// An idempotency key is kept for its window at least, an outcome for long enough to be fetched, and neither for
+/// longer than it could have been kept without a step.
 fn kept_after_restart(deploy: &Deploy) -> KeptAfterRestart {
     let spans = deploy.classes.iter().map(|class| class.give_up_ms + class.dedup_window_ms);
-    let longest = spans.fold(0.0, f64::max);
+    let longest_ms = spans.fold(0.0, f64::max);
     KeptAfterRestart {
-        least: longest.max(COLLECTED_WITHIN.as_secs_f64() * 1000.0),
-        most: longest.max(COLLECTED_WITHIN.as_secs_f64() * 1000.0) + deploy.retention_s * 1000.0,
+        least: longest_ms.max(MIN_OUTCOME_RETENTION.as_secs_f64() * 1000.0),
+        most: longest_ms.max(MIN_OUTCOME_RETENTION.as_secs_f64() * 1000.0) + deploy.retention_s * 1000.0,
     }
 }
 
-/// Serves until a signal ends it and nothing is owed; true if all was answered.
+/// Serves until a signal stops the process; returns true if all requests were answered.
 pub fn run(deploy: &Deploy, path: &Path) -> Result<bool, ConfigError> {
     let at = |key: &'static str| move |error: &dyn Display| ConfigError::new(key, error);
     let mut signals = signals()?;
     let settings = deploy.settings();
-    let base = accounts::measured_base();
+    let base_bytes = accounts::measured_base();
     let ledger = Arc::new(Ledger::new(
-        &accounts::deploy_budget(&deploy.memory_settings(), base)?,
+        &accounts::deploy_budget(&deploy.memory_settings(), base_bytes)?,
         &accounts::tenants(&settings),
     ));
     let store = Arc::new(match &deploy.data_dir {
@@ -69,53 +71,61 @@
     let invocations =
         Invocations::new(store.clone(), retention, deploy.answer_bytes()).map_err(|e| at("data_dir")(&e))?;
     let followers = deploy.feed.as_ref().map_or(0, |feed| feed.followers);
-    let (clients, to_workers) = connections(deploy.sockets - followers);
-    let workers = workers(deploy, &settings, to_workers, ledger.account(Purpose::Workers));
+    let (clients, to_workers) = split_descriptors(deploy.sockets - followers);
+    let workers = worker_client(deploy, &settings, to_workers, ledger.account(Purpose::Workers));
     let invoker = Invoker::new(&settings, rand::random(), workers, ledger.clone());
     accounts::watch(&invoker);
     invoker.watch_for_stalls();
     catalog.announce(&invoker);
-    let parts =
-        Parts { invoker: invoker.clone(), catalog: Arc::new(catalog), invocations: Arc::new(invocations) };
-    let role = role(deploy, &store, &parts)?;
-    let Parts { catalog, invocations, .. } = parts;
+    let targets = RecordTargets {
+        invoker: invoker.clone(),
+        catalog: Arc::new(catalog),
+        invocations: Arc::new(invocations),
+    };
+    let role = start_role(deploy, &store, &targets)?;
+    let RecordTargets { catalog, invocations, .. } = targets;
     let api = Arc::new(InvokeApi { invoker: invoker.clone(), invocations, catalog, role });
     let account = ledger.account(Purpose::Clients).clone();
     let client_limits = ConnectionLimits { most: clients, stall: invoke::WRITE_STALL, account };
     let acceptor = Acceptor::open(deploy.listen, client_limits).map_err(|e| at("listen")(&e))?;
     let bound = acceptor.address().map_err(|e| at("listen")(&e))?;
     spawn(move || loop {
-        timers::sleep(SWEEP);
+        timers::sleep(SWEEP_INTERVAL);
         if let Err(error) = store.sweep() {
             tracing::error!(%error, "store");
         }
     });
     api.resume();
-    let (ours, theirs) = (api.clone(), acceptor.clone());
-    spawn(move || theirs.accept(move |connection| invoke::serve(&ours, &connection)));
+    let (task_api, task_acceptor) = (api.clone(), acceptor.clone());
+    spawn(move || task_acceptor.accept(move |connection| invoke::serve(&task_api, &connection)));
     println!("invoke API on {bound}");
-    // Functions, workers and caps of memory are taken up; what the file says besides holds from the next start on.
+    // A reload applies functions, workers and memory caps; all other settings take effect at the next start.
     let reload = || {
         let next = Deploy::load(path)?;
-        ledger.adopt(&accounts::deploy_budget(&next.memory_settings(), base)?);
+        ledger.adopt(&accounts::deploy_budget(&next.memory_settings(), base_bytes)?);
         seed(&api.catalog, &next)?;
         api.catalog.announce(&api.invoker);
         Ok(())
     };
-    let within = STILL_TAKING + longest_deadline(&settings) + LAST_ANSWERS;
-    let end = End { terms: || ENDING, is_over: || false, acceptor: &acceptor, within };
-    Ok(serve_until_signalled(&invoker, &mut signals, reload, end))
+    let terminate_after = ACCEPT_AFTER_SIGTERM + longest_deadline(&settings) + FINAL_ANSWER_TIME;
+    let shutdown = Shutdown {
+        terms: || TERMS_WITHOUT_SUCCESSOR,
+        no_new_clients: || false,
+        acceptor: &acceptor,
+        terminate_after,
+    };
+    Ok(serve_until_signalled(&invoker, &mut signals, reload, shutdown))
 }
 
-/// What records of other nodes have an effect on.
-struct Parts {
+/// The components that records from other nodes affect.
+struct RecordTargets {
     invoker: Arc<Invoker>,
     catalog: Arc<Catalog>,
     invocations: Arc<Invocations>,
 }
 
-impl Parts {
-    /// What is done when such records came in.
+impl RecordTargets {
+    /// The handler that runs when such records have arrived.
     fn on_news(&self) -> OnNews {
         let invoker = self.invoker.clone();
         let catalog = self.catalog.clone();
@@ -131,15 +141,15 @@
     }
 }
 
-/// Starts the node's part in the distribution of configuration.
-fn role(deploy: &Deploy, store: &Arc<Store>, parts: &Parts) -> Result<Role, ConfigError> {
+/// Starts the node's role in the distribution of configuration: replication, feed or follower.
+fn start_role(deploy: &Deploy, store: &Arc<Store>, targets: &RecordTargets) -> Result<Role, ConfigError> {
     let mut role = Role::default();
     if let Some(replication) = &deploy.replication {
         let at = |error| ConfigError::new("replication.listen", error);
         let acceptor = replicate::open(replication.listen, store, replication.peers.len()).map_err(at)?;
         println!("replication on {}", acceptor.address().map_err(at)?);
         let interval = Duration::from_millis(replication.interval_ms);
-        let mesh = replicate::start(store, acceptor, &replication.peers, interval, parts.on_news());
+        let mesh = replicate::start(store, acceptor, &replication.peers, interval, targets.on_news());
         role.mesh = Some(mesh);
     }
     if let Some(settings) = &deploy.feed {
@@ -150,18 +160,18 @@
     }
     if let Some(settings) = &deploy.follow {
         let options = settings.options(&deploy.zone);
-        let follower = feed::follow(store.clone(), options, parts.on_news());
+        let follower = feed::follow(store.clone(), options, targets.on_news());
         let follower = follower.map_err(|error| ConfigError::new("follow.control", error))?;
         role.feed = FeedRole::Follower(follower);
     }
     Ok(role)
 }
 
-/// Writes the functions and workers that the deploy file changed since it was last read.
+/// Writes the functions and workers of the deploy file that have changed since it was last read.
 fn seed(catalog: &Catalog, deploy: &Deploy) -> Result<(), ConfigError> {
     let mut entries = Vec::with_capacity(deploy.functions.len() + deploy.workers.len());
     for function in &deploy.functions {
-        entries.push(SeedEntry::function(&function.name, &function.function()).map_err(unusable_entry)?);
+        entries.push(SeedEntry::function(&function.name, &function.function()).map_err(entry_error)?);
     }
     for entry in &deploy.workers {
         let worker = Worker {
@@ -172,13 +182,13 @@
             weight: entry.weight,
             state: entry.state,
         };
-        entries.push(SeedEntry::worker(&entry.name, &worker).map_err(unusable_entry)?);
+        entries.push(SeedEntry::worker(&entry.name, &worker).map_err(entry_error)?);
     }
-    catalog.seed(entries).map_err(unusable_entry)
+    catalog.seed(entries).map_err(entry_error)
 }
 
-/// Names the key that an entry failed for: the memory where there is no room, else where the state is kept.
-fn unusable_entry(error: CatalogError) -> ConfigError {
+/// Names the key at fault when an entry can't be stored: `memory_mb` if there is no room, else `data_dir`.
+fn entry_error(error: CatalogError) -> ConfigError {
     let key = match &error {
         CatalogError::Store(StoreError::Full { .. }) => "memory_mb",
         CatalogError::Store(_) | CatalogError::Value(_) => "data_dir",
@@ -186,11 +196,19 @@
     ConfigError::new(key, error)
 }
 
-fn workers(deploy: &Deploy, settings: &Value, connections: usize, account: &Account) -> Arc<dyn Workers> {
+/// Creates the client for workers that the transport settings select.
+fn worker_client(
+    deploy: &Deploy,
+    settings: &Value,
+    connections: usize,
+    account: &Account,
+) -> Arc<dyn Workers> {
     let (account, answer) = (account.clone(), deploy.answer_bytes());
     let connect = Duration::from_secs_f64(deploy.limits.connect_timeout_ms / 1000.0);
     match (deploy.transport.protocol, deploy.transport.style) {
-        (Protocol::Frames, _) => Arc::new(FrameWorkers::new(limits(settings, connections, answer), account)),
+        (Protocol::Frames, _) => {
+            Arc::new(FrameWorkers::new(worker_limits(settings, connections, answer), account))
+        }
         (Protocol::Http, style) => {
             let style = match style {
                 Style::Held => http_workers::Style::Held,
