--- a/crates/node/src/life/config.rs
+++ b/crates/node/src/life/config.rs
@@ -1,4 +1,4 @@
-//! What a process is told at its start. An error names the key at fault in one line.
+//! The configuration on the hosting platform. An error names the key at fault in one line.
 use crate::wire::channel::News;
 use serde::Deserialize;
 use serde_json::Value;
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// A configuration that can't be used.
+/// An error in the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigError {
     /// The key at fault.
@@ -16,7 +16,7 @@
 }
 
 impl ConfigError {
-    /// An error at a key.
+    /// Creates an error at a key; line breaks in the description become spaces.
     pub fn new(key: impl Into<String>, what: impl fmt::Display) -> Self {
         let what = what.to_string().replace('\n', " ");
         ConfigError { key: key.into(), what }
@@ -31,21 +31,21 @@
 
 impl std::error::Error for ConfigError {}
 
-/// Where the platform's configuration stands: read at the start, and again at each reload.
+/// The source of the platform's configuration, read at the start and at each reload.
 #[derive(Clone, Debug)]
 pub struct Source {
-    /// The file.
+    /// Path of the configuration file.
     pub path: PathBuf,
-    /// Where clients connect, whatever the file says.
+    /// Listen address for clients, which overrides the file's.
     pub listen: Option<String>,
-    /// Where operators call, whatever the file says.
+    /// Listen address for operators, which overrides the file's.
     pub admin: Option<String>,
-    /// What this process and the one beside it can both write in.
+    /// A folder that this process and another one of the same invoker can both write to.
     pub shared: Option<PathBuf>,
 }
 
 impl Source {
-    /// What the environment names.
+    /// Reads the environment variables.
     pub fn from_env() -> Result<Self, ConfigError> {
         let path = std::env::var("PROXY_CONFIG").map_err(|error| ConfigError::new("PROXY_CONFIG", error))?;
         let variable = |name: &str| std::env::var(name).ok();
@@ -57,7 +57,7 @@
         })
     }
 
-    /// Reads the file as it is now.
+    /// Reads the file's current content.
     pub fn read(&self) -> Result<Platform, ConfigError> {
         let text = std::fs::read_to_string(&self.path);
         let text = text.map_err(|error| ConfigError::new("PROXY_CONFIG", error))?;
@@ -68,33 +68,33 @@
 /// The platform's configuration.
 #[derive(Debug)]
 pub struct Platform {
-    /// Where clients connect.
+    /// Listen address for clients.
     pub listen: SocketAddr,
-    /// Where operators call; nowhere where it is not told.
+    /// Listen address for operators; without one there is no operators' interface.
     pub admin: Option<SocketAddr>,
-    /// For random numbers.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Most descriptors that the process may hold.
+    /// Maximum number of file descriptors of the process.
     pub sockets: usize,
-    /// Most memory that the process may take.
+    /// Memory limit of the process, in MB.
     pub memory_mb: u64,
-    /// Where the command channel listens.
+    /// Address of the command channel.
     pub channel: SocketAddr,
-    /// Number of the last event known.
+    /// Number of the last known event of the command channel.
     pub cursor: u64,
-    /// The events known, in order.
+    /// The known events, in order.
     pub known: Vec<News>,
     /// The settings object.
     pub settings: Value,
 }
 
-/// Descriptors where the configuration sets no limit.
-const SOCKETS: usize = 1024;
-/// Memory where it sets none.
-const MEMORY_MB: u64 = 128;
+/// Default maximum number of file descriptors.
+const DEFAULT_SOCKETS: usize = 1024;
+/// Default memory limit.
+const DEFAULT_MEMORY_MB: u64 = 128;
 
 impl Platform {
-    /// Reads the configuration's text; `listen` and `admin` override its own where given.
+    /// Parses the configuration; `listen` and `admin` override its own values if given.
     pub fn read(text: &str, listen: Option<&str>, admin: Option<&str>) -> Result<Self, ConfigError> {
         let config: Value =
             serde_json::from_str(text).map_err(|error| ConfigError::new("PROXY_CONFIG", error))?;
@@ -109,14 +109,16 @@
             (Some(admin), _) => Some(address("admin", Some(admin))?),
             (None, Value::Null) => None,
             (None, Value::String(admin)) => Some(address("admin", Some(admin))?),
-            (None, odd) => return Err(ConfigError::new("admin", format!("{odd} is no address and port"))),
+            (None, other) => {
+                return Err(ConfigError::new("admin", format!("{other} is no address and port")))
+            }
         };
         Ok(Platform {
             listen: address("listen", listen)?,
             admin,
             seed: seed(&config["seed"])?,
-            sockets: config["limits"]["sockets"].as_u64().map_or(SOCKETS, |limit| limit as usize),
-            memory_mb: config["limits"]["memory_mb"].as_f64().map_or(MEMORY_MB, |limit| limit as u64),
+            sockets: config["limits"]["sockets"].as_u64().map_or(DEFAULT_SOCKETS, |limit| limit as usize),
+            memory_mb: config["limits"]["memory_mb"].as_f64().map_or(DEFAULT_MEMORY_MB, |limit| limit as u64),
             channel: address("channel", config["channel"].as_str())?,
             cursor: known.cursor,
             known: known.cmds,
@@ -125,6 +127,7 @@
     }
 }
 
+/// The events of the command channel that are known at the start.
 #[derive(Deserialize)]
 struct Known {
     #[serde(default)]
@@ -133,17 +136,17 @@
     cmds: Vec<News>,
 }
 
-/// The address at a key.
+/// Parses the address at a key.
 pub fn address(key: &str, text: Option<&str>) -> Result<SocketAddr, ConfigError> {
     let text = text.ok_or_else(|| ConfigError::new(key, "missing"))?;
     text.parse().map_err(|_| ConfigError::new(key, format!("{text:?} is no address and port")))
 }
 
 fn seed(value: &Value) -> Result<u64, ConfigError> {
-    let bad = || ConfigError::new("seed", "neither a number nor up to 16 hex digits");
+    let invalid = || ConfigError::new("seed", "neither a number nor up to 16 hex digits");
     match value {
-        Value::String(text) => u64::from_str_radix(text, 16).map_err(|_| bad()),
-        Value::Number(number) => number.as_u64().ok_or_else(bad),
-        _ => Err(bad()),
+        Value::String(text) => u64::from_str_radix(text, 16).map_err(|_| invalid()),
+        Value::Number(number) => number.as_u64().ok_or_else(invalid),
+        _ => Err(invalid()),
     }
 }
--- a/crates/node/src/life/deploy.rs
+++ b/crates/node/src/life/deploy.rs
@@ -1,4 +1,4 @@
-//! The daemon's own deploy file: where the invoke API listens, what it serves and who the workers are.
+//! The daemon's deploy file: listen addresses, limits, functions and workers.
 mod check;
 mod entries;
 
@@ -18,50 +18,50 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Largest answer that the file may allow, in KiB, and what holds where it says nothing: calls that are kept hold room
-/// for one from the start, and the log's share has to take its record.
-const LARGEST_ANSWER_KB: usize = 64;
-/// A follower's catalog has room for this part of its memory, one in so many bytes.
-const FOLLOWER_CATALOG_PART: usize = 12;
+/// Upper bound and default of `limits.answer_kb`, in KiB. A stored call reserves room for its answer from the start,
+/// and the record of the answer must fit the log's share of the memory.
+const MAX_ANSWER_KB: usize = 64;
+/// A follower's catalog gets one byte in this many of the follower's memory.
+const FOLLOWER_CATALOG_DIVISOR: usize = 12;
 
-/// The whole file.
+/// The content of a deploy file.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Deploy {
-    /// The node's name, the same after a restart and unlike any other's.
+    /// The node's name, which is unique and stays the same after a restart.
     pub node: String,
-    /// Where the invoke API listens.
+    /// Listen address of the invoke API.
     pub listen: SocketAddr,
-    /// Where state is kept; in memory only without.
+    /// Folder in which state is stored; without one, state is in memory only.
     pub data_dir: Option<PathBuf>,
     /// The node's own zone.
     #[serde(default)]
     pub zone: String,
-    /// Most descriptors that the process may hold.
-    #[serde(default = "sockets")]
+    /// Maximum number of file descriptors of the process.
+    #[serde(default = "default_sockets")]
     pub sockets: usize,
-    /// Memory of the process, MB.
-    #[serde(default = "memory")]
+    /// Memory limit of the process, in MB.
+    #[serde(default = "default_memory_mb")]
     pub memory_mb: u64,
-    /// How it is shared out.
+    /// Division of the memory.
     #[serde(default)]
     pub memory: Memory,
-    /// For how long finished invocations are kept.
-    #[serde(default = "retention")]
+    /// How long finished invocations are kept, in seconds.
+    #[serde(default = "default_retention_s")]
     pub retention_s: f64,
-    /// A file with further `[[worker]]` entries, such as `corkbay import` writes.
+    /// A file with further `[[worker]]` entries, for example one written by `corkbay import`.
     pub workers_file: Option<PathBuf>,
-    /// How workers are spoken to.
+    /// Protocol between invoker and workers.
     #[serde(default)]
     pub transport: Transport,
-    /// Limits of attempts.
+    /// Limits of attempts and connections.
     #[serde(default)]
     pub limits: Limits,
-    /// Other nodes.
+    /// Replication with other nodes.
     pub replication: Option<Replication>,
     /// The feed that the node serves to followers, if it is a control node.
     pub feed: Option<FeedSettings>,
-    /// The control nodes that it follows, if it is a follower.
+    /// The control nodes that the node follows, if it is a follower.
     pub follow: Option<FollowSettings>,
     /// Classes of calls.
     #[serde(rename = "class")]
@@ -80,19 +80,19 @@
     pub workers: Vec<WorkerEntry>,
 }
 
-fn memory() -> u64 {
+fn default_memory_mb() -> u64 {
     128
 }
 
-fn sockets() -> usize {
+fn default_sockets() -> usize {
     1024
 }
 
-fn retention() -> f64 {
+fn default_retention_s() -> f64 {
     3600.0
 }
 
-/// Reads a TOML text; an error names the key.
+/// Parses a TOML text; an error names the key at fault.
 pub fn read<'de, T: Deserialize<'de>>(text: &'de str) -> Result<T, ConfigError> {
     let reader = toml::Deserializer::new(text);
     serde_path_to_error::deserialize(reader).map_err(|error| {
@@ -102,31 +102,32 @@
     })
 }
 
-fn file(path: &Path, key: &str) -> Result<String, ConfigError> {
-    let named = |error| ConfigError::new(key, format!("{}: {error}", path.display()));
-    std::fs::read_to_string(path).map_err(named)
+/// Reads a file; an error names `key` and the path.
+fn read_file(path: &Path, key: &str) -> Result<String, ConfigError> {
+    let describe_error = |error| ConfigError::new(key, format!("{}: {error}", path.display()));
+    std::fs::read_to_string(path).map_err(describe_error)
 }
 
 impl Deploy {
     /// Reads the file and the workers file that it names, and checks both.
     pub fn load(path: &Path) -> Result<Self, ConfigError> {
-        let mut deploy: Deploy = read(&file(path, "deploy file")?)?;
+        let mut deploy: Deploy = read(&read_file(path, "deploy file")?)?;
         let folder = path.parent().unwrap_or(Path::new("."));
         if let Some(name) = &deploy.workers_file {
-            let more: WorkersFile = read(&file(&folder.join(name), "workers_file")?)?;
-            deploy.workers.extend(more.workers);
+            let extra_file: WorkersFile = read(&read_file(&folder.join(name), "workers_file")?)?;
+            deploy.workers.extend(extra_file.workers);
         }
         deploy.data_dir = deploy.data_dir.map(|data| folder.join(data));
         deploy.check()?;
         Ok(deploy)
     }
 
-    /// Largest body of a worker's answer, in bytes.
+    /// Maximum body size of a worker's answer, in bytes.
     pub fn answer_bytes(&self) -> usize {
         self.limits.answer_kb * KIB
     }
 
-    /// Invokers that share the workers, as far as the file tells.
+    /// Number of invokers that share the workers, according to the file.
     fn invokers(&self) -> usize {
         match (&self.follow, &self.replication) {
             (Some(follow), _) => follow.invokers,
@@ -135,7 +136,7 @@
         }
     }
 
-    /// What the file says of memory.
+    /// The memory settings of the file.
     pub fn memory_settings(&self) -> MemorySettings {
         MemorySettings {
             memory_mb: self.memory_mb,
@@ -146,16 +147,16 @@
         }
     }
 
-    /// What the catalog is to have room for, in bytes. A follower's file names no functions: those of its control nodes
-    /// have to fit, unless the file says itself what part of the memory is for them.
+    /// The size that the catalog needs room for, in bytes. A follower's file names no functions, but the catalog must
+    /// hold those of its control nodes; it gets a fixed part of the memory unless the file sets its share.
     fn catalog_bytes(&self) -> usize {
         if self.follow.is_some() && !self.memory.shares.contains_key(Purpose::Catalog.name()) {
-            return (self.memory_mb as usize * MIB) / FOLLOWER_CATALOG_PART;
+            return (self.memory_mb as usize * MIB) / FOLLOWER_CATALOG_DIVISOR;
         }
         self.configured_bytes()
     }
 
-    /// What the functions and workers of the file take in the store, in bytes.
+    /// Size of the file's functions and workers in the store, in bytes.
     fn configured_bytes(&self) -> usize {
         let functions = self
             .functions
@@ -167,7 +168,7 @@
         functions.sum::<usize>() + workers.sum::<usize>() + pages
     }
 
-    /// The settings object that the decisions read.
+    /// The settings object that the decision code reads.
     pub fn settings(&self) -> Value {
         let mut zones: Vec<&str> = vec![&self.zone];
         zones.extend(self.workers.iter().map(|worker| worker.zone.as_str()));
--- a/crates/node/src/life/deploy/check.rs
+++ b/crates/node/src/life/deploy/check.rs
@@ -1,18 +1,18 @@
-//! What the types of the deploy file leave open.
-use super::{Deploy, Effect, Protocol, Style, LARGEST_ANSWER_KB};
-use crate::life::accounts::{deploy_budget, USUAL_BASE};
+//! Checks of the deploy file that go beyond its types.
+use super::{Deploy, Effect, Protocol, Style, MAX_ANSWER_KB};
+use crate::life::accounts::{deploy_budget, MIN_BASE_BYTES};
 use crate::life::config::ConfigError;
 use crate::memory::catalog::check_name;
 use corkbay_ledger::Purpose;
 use std::collections::BTreeSet;
 
-/// Fewest descriptors with which the daemon can serve.
-const LEAST_SOCKETS: usize = 64;
-/// Largest part of the memory that may be kept back for what no account sees, in percent.
-const MOST_RESERVE_PERCENT: f64 = 90.0;
+/// Minimum number of file descriptors with which the daemon can serve.
+const MIN_SOCKETS: usize = 64;
+/// Maximum part of the memory that may be reserved for use that no account tracks, in percent.
+const MAX_RESERVE_PERCENT: f64 = 90.0;
 
 impl Deploy {
-    /// Checks the whole file; the first error names its key.
+    /// Checks the whole file; returns the first error, which names its key.
     pub(in crate::life) fn check(&self) -> Result<(), ConfigError> {
         check_name(&self.node).map_err(|error| ConfigError::new("node", error))?;
         self.check_limits()?;
@@ -25,8 +25,8 @@
     }
 
     fn check_limits(&self) -> Result<(), ConfigError> {
-        if self.sockets < LEAST_SOCKETS {
-            return Err(ConfigError::new("sockets", format!("fewer than {LEAST_SOCKETS}")));
+        if self.sockets < MIN_SOCKETS {
+            return Err(ConfigError::new("sockets", format!("must be at least {MIN_SOCKETS}")));
         }
         let limits = &self.limits;
         for (key, value) in [
@@ -39,8 +39,8 @@
         ] {
             check_positive(key, value)?;
         }
-        if !(1..=LARGEST_ANSWER_KB).contains(&limits.answer_kb) {
-            return Err(ConfigError::new("limits.answer_kb", format!("not from 1 to {LARGEST_ANSWER_KB}")));
+        if !(1..=MAX_ANSWER_KB).contains(&limits.answer_kb) {
+            return Err(ConfigError::new("limits.answer_kb", format!("must be from 1 to {MAX_ANSWER_KB}")));
         }
         Ok(())
     }
@@ -49,11 +49,11 @@
         if let Some(base) = self.memory.base_mb {
             check_positive("memory.base_mb", base)?;
         }
-        if !(0.0..=MOST_RESERVE_PERCENT).contains(&self.memory.reserve_percent) {
-            let what = format!("not from 0 to {MOST_RESERVE_PERCENT}");
+        if !(0.0..=MAX_RESERVE_PERCENT).contains(&self.memory.reserve_percent) {
+            let what = format!("must be from 0 to {MAX_RESERVE_PERCENT}");
             return Err(ConfigError::new("memory.reserve_percent", what));
         }
-        let budget = deploy_budget(&self.memory_settings(), USUAL_BASE)?;
+        let budget = deploy_budget(&self.memory_settings(), MIN_BASE_BYTES)?;
         if let Some(follow) = &self.follow {
             follow.check(self)?;
         }
@@ -65,7 +65,7 @@
 
     fn check_names(&self) -> Result<(), ConfigError> {
         if self.classes.is_empty() {
-            return Err(ConfigError::new("class", "no class"));
+            return Err(ConfigError::new("class", "at least one class is required"));
         }
         check_unique("class", self.classes.iter().map(|class| class.name.as_str()))?;
         check_unique("tenant", self.tenants.iter().map(|tenant| tenant.name.as_str()))?;
@@ -89,12 +89,12 @@
         for function in &self.functions {
             check_positive("function.lanes", f64::from(function.lanes))?;
             if !self.classes.iter().any(|class| class.name == function.class) {
-                let what = format!("{:?} of {:?} is no class", function.class, function.name);
+                let what = format!("unknown class {:?} in function {:?}", function.class, function.name);
                 return Err(ConfigError::new("function.class", what));
             }
             let is_known = self.tenants.iter().any(|tenant| tenant.name == function.tenant);
             if !self.tenants.is_empty() && !is_known {
-                let what = format!("{:?} of {:?} is no tenant", function.tenant, function.name);
+                let what = format!("unknown tenant {:?} in function {:?}", function.tenant, function.name);
                 return Err(ConfigError::new("function.tenant", what));
             }
         }
@@ -112,9 +112,11 @@
     fn check_transport(&self) -> Result<(), ConfigError> {
         match (self.transport.protocol, self.transport.style, self.transport.orders) {
             (Protocol::Frames, Style::Deferred, _) => {
-                Err(ConfigError::new("transport.style", "frames are held only"))
+                Err(ConfigError::new("transport.style", "the frames protocol supports only the style held"))
+            }
+            (Protocol::Http, _, true) => {
+                Err(ConfigError::new("transport.orders", "only the frames protocol supports orders"))
             }
-            (Protocol::Http, _, true) => Err(ConfigError::new("transport.orders", "goes with frames only")),
             _ => Ok(()),
         }
     }
@@ -122,17 +124,17 @@
 
 fn check_positive(key: &str, value: f64) -> Result<(), ConfigError> {
     let is_positive = value.is_finite() && value > 0.0;
-    is_positive.then_some(()).ok_or_else(|| ConfigError::new(key, "not above 0"))
+    is_positive.then_some(()).ok_or_else(|| ConfigError::new(key, "must be above 0"))
 }
 
-/// Checks that names can be used, and that each stands once.
+/// Checks that names are valid and that none is given twice.
 fn check_unique<'a>(key: &str, names: impl Iterator<Item = &'a str>) -> Result<(), ConfigError> {
     let key = format!("{key}.name");
     let mut seen = BTreeSet::new();
     for name in names {
         check_name(name).map_err(|error| ConfigError::new(key.clone(), error))?;
         if !seen.insert(name) {
-            return Err(ConfigError::new(key, format!("{name:?} stands twice")));
+            return Err(ConfigError::new(key, format!("duplicate name {name:?}")));
         }
     }
     Ok(())
--- a/crates/node/src/life/deploy/entries.rs
+++ b/crates/node/src/life/deploy/entries.rs
@@ -1,12 +1,12 @@
 //! The sections and entries of the deploy file.
-use super::LARGEST_ANSWER_KB;
+use super::MAX_ANSWER_KB;
 use crate::life::config::ConfigError;
 use crate::memory::catalog::{Function, State};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, ToSocketAddrs};
 
-/// What a workers file holds.
+/// The content of a workers file.
 #[derive(Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WorkersFile {
@@ -15,7 +15,7 @@
     pub workers: Vec<WorkerEntry>,
 }
 
-/// A function as it stands in the file.
+/// A function in the deploy file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FunctionEntry {
@@ -23,16 +23,16 @@
     pub name: String,
     /// Its class.
     pub class: String,
-    /// Its tenant, where there are tenants.
+    /// Its tenant, if there are tenants.
     #[serde(default)]
     pub tenant: String,
-    /// Memory of one copy, MB.
+    /// Memory of one copy, in MB.
     #[serde(default)]
     pub memory_mb: f64,
-    /// Calls at a time in one copy.
-    #[serde(default = "one_lane")]
+    /// Number of concurrent calls in one copy.
+    #[serde(default = "default_lanes")]
     pub lanes: u32,
-    /// Rough core time of a call, milliseconds.
+    /// Approximate CPU time of a call, in milliseconds.
     pub cost_ms: Option<f64>,
 }
 
@@ -44,13 +44,13 @@
     }
 }
 
-/// A worker as it stands in a file; its address may name a host.
+/// A worker in a deploy file or workers file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WorkerEntry {
     /// Its name.
     pub name: String,
-    /// Host and port.
+    /// Host name or IP address, and port.
     pub address: String,
     /// Its zone.
     #[serde(default, skip_serializing_if = "String::is_empty")]
@@ -58,50 +58,50 @@
     /// Its machine kind.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub kind: String,
-    /// Its rack.
+    /// Its cell (rack).
     #[serde(default)]
     pub cell: i64,
-    /// Size in relation to the others.
-    #[serde(default = "one")]
+    /// Capacity relative to other workers.
+    #[serde(default = "default_one")]
     pub weight: f64,
-    /// Whether it takes work.
+    /// Whether it accepts calls.
     #[serde(default)]
     pub state: State,
 }
 
-/// What is spoken to workers.
+/// The protocol between invoker and workers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Protocol {
-    /// The invoke API.
+    /// The invoke API over HTTP.
     #[default]
     Http,
     /// Binary frames.
     Frames,
 }
 
-/// How an answer travels from a worker.
+/// How a worker returns an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Style {
-    /// On the exchange that carried the call.
+    /// In the response to the request that carried the call.
     #[default]
     Held,
-    /// Collected later.
+    /// The invoker fetches it later.
     Deferred,
 }
 
-/// How workers are spoken to.
+/// How the invoker communicates with workers.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Transport {
-    /// What is spoken.
+    /// The protocol.
     #[serde(default)]
     pub protocol: Protocol,
-    /// How answers travel.
+    /// How answers are returned.
     #[serde(default)]
     pub style: Style,
-    /// Workers load models only when ordered to (frames only).
+    /// Whether workers load models only on a load order (frames only).
     #[serde(default)]
     pub orders: bool,
 }
@@ -110,19 +110,20 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Most attempts for a call.
+    /// Maximum number of attempts for a call.
     pub attempts: u32,
-    /// A connection not made by then has failed.
+    /// Timeout for opening a connection, in milliseconds.
     pub connect_timeout_ms: f64,
-    /// An idle connection is closed after this.
+    /// Time after which an idle connection is closed, in milliseconds.
     pub idle_ms: f64,
-    /// Exchanges that one connection carries at once.
+    /// Maximum number of concurrent exchanges on a connection.
     pub streams: u32,
-    /// Least time for which workers keep an idle copy.
+    /// Minimum time for which workers keep an idle copy, in milliseconds.
     pub keep_ms: f64,
-    /// Longest advice to stay away.
+    /// Maximum retry-after time sent to clients, in milliseconds.
     pub max_retry_after_ms: f64,
-    /// Largest body of a worker's answer, KiB. Calls whose answers are kept hold room for it meanwhile.
+    /// Maximum body size of a worker's answer, in KiB. A call whose answer is stored reserves room for it until it is
+    /// finished.
     pub answer_kb: usize,
 }
 
@@ -135,20 +136,20 @@
             streams: 32,
             keep_ms: 10_000.0,
             max_retry_after_ms: 1000.0,
-            answer_kb: LARGEST_ANSWER_KB,
+            answer_kb: MAX_ANSWER_KB,
         }
     }
 }
 
-/// How the memory is shared out between purposes.
+/// Division of the memory between purposes.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Memory {
-    /// What the process takes by itself, MB; measured at the start where it is not given.
+    /// Memory that the process takes by itself, in MB; measured at the start if not given.
     pub base_mb: Option<f64>,
-    /// What is kept back for what no account sees, in percent.
+    /// Part reserved for use that no account tracks, in percent.
     pub reserve_percent: f64,
-    /// Parts of purposes, in percent of the rest; those not named split what is left.
+    /// Shares of the purposes, in percent of the remaining memory; purposes not named divide what is left.
     pub shares: BTreeMap<String, f64>,
 }
 
@@ -162,37 +163,37 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Replication {
-    /// Where other nodes call.
+    /// Listen address for other nodes.
     pub listen: SocketAddr,
-    /// Where they are called.
+    /// Addresses of the other nodes.
     #[serde(default)]
     pub peers: Vec<SocketAddr>,
-    /// Time between two comparisons with a peer in milliseconds; writes are pushed at once.
-    #[serde(default = "interval")]
+    /// Interval between two comparisons with a peer, in milliseconds; writes are sent immediately.
+    #[serde(default = "default_interval_ms")]
     pub interval_ms: u64,
 }
 
-/// What running a call of a class twice would do.
+/// The effect of running a call of a class twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Effect {
-    /// Nothing.
+    /// None.
     Pure,
-    /// Workers drop repeats of a key.
+    /// Workers drop repeated calls with the same idempotency key.
     Token,
-    /// Harm.
+    /// Harmful side effects.
     SideEffect,
 }
 
-/// Which workers drop repeats.
+/// The group of workers within which repeated calls are dropped.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Scope {
-    /// Every one.
+    /// All workers.
     All,
-    /// Those of a zone.
+    /// The workers of a zone.
     Zone,
-    /// Those of a rack.
+    /// The workers of a cell (rack).
     #[default]
     Cell,
 }
@@ -203,22 +204,22 @@
 pub struct Class {
     /// Its name.
     pub name: String,
-    /// When an answer is wanted.
+    /// Target latency, in milliseconds.
     pub aim_ms: f64,
-    /// When a client gives up at the latest.
+    /// Maximum time a client waits for an answer, in milliseconds.
     pub give_up_ms: f64,
-    /// What a repeat does.
+    /// The effect of running a call twice.
     pub effect: Effect,
-    /// Which workers drop repeats.
+    /// The group of workers within which repeated calls are dropped.
     #[serde(default)]
     pub dedup_scope: Scope,
-    /// For how long they do.
+    /// How long they remember an idempotency key, in milliseconds.
     #[serde(default)]
     pub dedup_window_ms: f64,
-    /// Worth of a call.
-    #[serde(default = "one")]
+    /// Value of a call answered in time, relative to other classes.
+    #[serde(default = "default_one")]
     pub worth: f64,
-    /// Part of it that a late answer earns.
+    /// Fraction of that value for a late answer.
     #[serde(default)]
     pub late_worth: f64,
 }
@@ -229,7 +230,7 @@
 pub struct Tenant {
     /// Its name.
     pub name: String,
-    /// Calls a second within its share; 0 for no share.
+    /// Calls per second that count as within its share; 0 for no share.
     #[serde(default)]
     pub quota_per_s: f64,
 }
@@ -240,26 +241,31 @@
 pub struct Kind {
     /// Its name.
     pub name: String,
-    /// Its memory.
+    /// Its memory, in MB.
     pub memory_mb: f64,
 }
 
 impl WorkerEntry {
-    /// Its address, looked up if it names a host; only at the start, before the first coroutine runs.
+    /// Resolves the address. Blocks, so it may be called only at the start, before the first coroutine runs.
     pub fn resolve(&self) -> Result<SocketAddr, ConfigError> {
-        let unknown = || ConfigError::new("worker.address", format!("{:?} of {:?}", self.address, self.name));
-        self.address.to_socket_addrs().ok().and_then(|mut found| found.next()).ok_or_else(unknown)
+        let unresolved = || {
+            ConfigError::new(
+                "worker.address",
+                format!("can't resolve {:?} of worker {:?}", self.address, self.name),
+            )
+        };
+        self.address.to_socket_addrs().ok().and_then(|mut found| found.next()).ok_or_else(unresolved)
     }
 }
 
-fn interval() -> u64 {
+fn default_interval_ms() -> u64 {
     2000
 }
 
-fn one() -> f64 {
+fn default_one() -> f64 {
     1.0
 }
 
-fn one_lane() -> u32 {
+fn default_lanes() -> u32 {
     1
 }
--- a/crates/node/src/life/import/tests.rs
+++ b/crates/node/src/life/import/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn brief(imported: &Imported) -> Vec<(&str, &str, &str, f64, State)> {
+fn summary(imported: &Imported) -> Vec<(&str, &str, &str, f64, State)> {
     let workers = imported.file.workers.iter();
     workers.map(|w| (w.name.as_str(), w.address.as_str(), w.zone.as_str(), w.weight, w.state)).collect()
 }
@@ -14,11 +14,11 @@
         worker.lb.type=lb\nworker.lb.balance_workers=a,b\nworker.lb.sticky_session=1\n";
     let imported = read(text).expect("reads");
     assert_eq!(
-        brief(&imported),
+        summary(&imported),
         [("a", "10.0.0.1:8010", "hall-a", 3.0, State::Up), ("b", "10.0.0.2:8009", "", 1.0, State::Draining)]
     );
-    let told: Vec<String> = imported.unsupported.iter().map(Remark::to_string).collect();
-    assert_eq!(told, ["line 16: worker.lb.sticky_session is not supported"]);
+    let notes: Vec<String> = imported.unsupported.iter().map(LineNote::to_string).collect();
+    assert_eq!(notes, ["line 16: worker.lb.sticky_session is not supported"]);
 }
 
 #[test]
@@ -28,18 +28,18 @@
         BalancerMember balancer://fleet http://c.example status=+S\n";
     let imported = read(text).expect("reads");
     assert_eq!(
-        brief(&imported),
+        summary(&imported),
         [
             ("a", "10.0.0.1:9000", "", 2.5, State::Up),
             ("::1:9001", "[::1]:9001", "", 1.0, State::Draining),
             ("c.example:80", "c.example:80", "", 1.0, State::Removed)
         ]
     );
-    let told: Vec<String> = imported.unsupported.iter().map(Remark::to_string).collect();
-    assert_eq!(told, ["line 3: retry is not supported", "line 4: ProxySet is not supported"]);
+    let notes: Vec<String> = imported.unsupported.iter().map(LineNote::to_string).collect();
+    assert_eq!(notes, ["line 3: retry is not supported", "line 4: ProxySet is not supported"]);
 }
 
-/// Guards against a file that is taken in by half.
+/// Guards against importing a faulty file in part.
 #[test]
 fn errors_name_their_line() {
     for (text, line) in [
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn what_is_written_is_read_back() {
+fn written_workers_files_are_readable() {
     let imported = read("worker.a.host=10.0.0.1\n").expect("reads");
     let text = toml::to_string(&imported.file).expect("writes");
     assert_eq!(super::super::deploy::read::<WorkersFile>(&text), Ok(imported.file));
--- a/crates/node/src/life/logs.rs
+++ b/crates/node/src/life/logs.rs
@@ -1,6 +1,6 @@
-//! Structured logs on standard error, a line an event.
+//! Structured logs on standard error, one line per event.
 
-/// Sets the log up; once, before anything is logged.
+/// Configures logging. Must be called once, before anything is logged.
 pub fn set_up() {
     tracing_subscriber::fmt()
         .with_writer(std::io::stderr)
--- a/crates/node/src/life/roles.rs
+++ b/crates/node/src/life/roles.rs
@@ -1,7 +1,7 @@
-//! The roles of a node in the distribution of configuration, as the deploy file gives them.
+//! The roles of a node in the distribution of configuration, as set in the deploy file.
 //!
 //! A control node serves the change feed (`[feed]`); a follower follows one control node at a time (`[follow]`). A node
-//! with neither keeps its configuration by itself or among its `[replication]` peers.
+//! with neither role keeps its configuration on its own or replicates it with its `[replication]` peers.
 use super::config::ConfigError;
 use super::deploy::Deploy;
 use crate::wire::accept::CONNECTION_BYTES;
@@ -11,42 +11,43 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// Least that a copy of the configuration may be sent at, in bytes a second.
-const LEAST_BYTES_PER_S: f64 = 1024.0;
-/// Part of the replication account that the connections of followers may take; the rest is for messages.
-const CONNECTIONS_PART: usize = 2;
+/// Minimum rate limit for copies of the configuration, in bytes per second.
+const MIN_BYTES_PER_S: f64 = 1024.0;
+/// The connections of followers may take one part in this many of the replication account; the rest is for messages.
+const CONNECTION_MEMORY_DIVISOR: usize = 2;
 
-/// `[feed]`: this node serves its configuration to followers.
+/// `[feed]`: this node is a control node, which serves its configuration to followers.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FeedSettings {
-    /// Where followers connect.
+    /// Listen address for followers.
     pub listen: SocketAddr,
-    /// Most followers at a time.
-    #[serde(default = "followers")]
+    /// Maximum number of concurrent followers.
+    #[serde(default = "default_followers")]
     pub followers: usize,
-    /// Most copies (whole or of differing buckets) that are sent at a time.
-    #[serde(default = "full_copies")]
+    /// Maximum number of copies (whole or of differing buckets) sent concurrently.
+    #[serde(default = "default_full_copies")]
     pub full_copies: usize,
-    /// Bytes a second that all copies together are sent at.
-    #[serde(default = "bytes_per_s")]
+    /// Rate limit of all copies together, in bytes per second.
+    #[serde(default = "default_bytes_per_s")]
     pub bytes_per_s: f64,
-    /// Changes that are remembered, so that a follower that was away goes on without a copy.
-    #[serde(default = "history")]
+    /// Number of changes kept, so that a follower that reconnects can continue without a copy.
+    #[serde(default = "default_history")]
     pub history: usize,
 }
 
-/// `[follow]`: this node takes its configuration from a control node.
+/// `[follow]`: this node is a follower, which receives its configuration from a control node.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FollowSettings {
-    /// The follower's own zone; that of the node where it is not given.
+    /// The follower's zone; by default the zone of the node.
     pub zone: Option<String>,
-    /// Invokers that share the workers, this one among them.
-    #[serde(default = "one")]
+    /// Number of invokers that share the workers, including this one.
+    #[serde(default = "default_invokers")]
     pub invokers: usize,
-    /// After one to three times so long at another than its first choice, the follower tries that again, in seconds.
-    #[serde(default = "return_s")]
+    /// A follower that is connected to another control node than its first choice tries that one again after a random
+    /// time of one to three times this value, in seconds.
+    #[serde(default = "default_return_s")]
     pub return_s: f64,
     /// The control nodes.
     #[serde(rename = "control", default)]
@@ -57,46 +58,46 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ControlEntry {
-    /// Where it serves its feed.
+    /// Address of its feed.
     pub address: SocketAddr,
     /// Its zone.
     #[serde(default)]
     pub zone: String,
-    /// Where its invoke API listens: callers that want to change the configuration are sent there.
+    /// Address of its invoke API. Followers name it when they refuse a request to change the configuration.
     pub api: Option<SocketAddr>,
 }
 
-/// A zone, where it has a name.
-fn named(zone: &str) -> Option<String> {
+/// The zone, or none if its name is empty.
+fn non_empty(zone: &str) -> Option<String> {
     (!zone.is_empty()).then(|| zone.to_string())
 }
 
-fn one() -> usize {
+fn default_invokers() -> usize {
     1
 }
 
-fn return_s() -> f64 {
+fn default_return_s() -> f64 {
     60.0
 }
 
-fn followers() -> usize {
+fn default_followers() -> usize {
     100
 }
 
-fn full_copies() -> usize {
+fn default_full_copies() -> usize {
     8
 }
 
-fn bytes_per_s() -> f64 {
+fn default_bytes_per_s() -> f64 {
     4_000_000.0
 }
 
-fn history() -> usize {
+fn default_history() -> usize {
     4096
 }
 
 impl FeedSettings {
-    /// The bounds of the feed.
+    /// The limits of the feed.
     pub fn limits(&self) -> FeedLimits {
         FeedLimits {
             followers: self.followers,
@@ -108,7 +109,7 @@
         }
     }
 
-    /// Checks the bounds against the sockets and the bytes for replication that the node has.
+    /// Checks the limits against the node's file descriptors and the size of its replication account, in bytes.
     pub fn check(&self, sockets: usize, replication_bytes: usize) -> Result<(), ConfigError> {
         for (key, value) in [
             ("feed.followers", self.followers),
@@ -116,20 +117,20 @@
             ("feed.history", self.history),
         ] {
             if value == 0 {
-                return Err(ConfigError::new(key, "not above 0"));
+                return Err(ConfigError::new(key, "must be above 0"));
             }
         }
-        if !self.bytes_per_s.is_finite() || self.bytes_per_s < LEAST_BYTES_PER_S {
-            return Err(ConfigError::new("feed.bytes_per_s", format!("below {LEAST_BYTES_PER_S}")));
+        if !self.bytes_per_s.is_finite() || self.bytes_per_s < MIN_BYTES_PER_S {
+            return Err(ConfigError::new("feed.bytes_per_s", format!("must be at least {MIN_BYTES_PER_S}")));
         }
         if self.followers > sockets / 2 {
-            let what = format!("{} are more than half of the {sockets} sockets", self.followers);
+            let what = format!("{} exceeds half of the {sockets} sockets", self.followers);
             return Err(ConfigError::new("feed.followers", what));
         }
-        let room = replication_bytes / CONNECTIONS_PART / CONNECTION_BYTES;
-        if self.followers > room {
+        let max_followers = replication_bytes / CONNECTION_MEMORY_DIVISOR / CONNECTION_BYTES;
+        if self.followers > max_followers {
             let what = format!(
-                "{} connections of {CONNECTION_BYTES} bytes take more than half of the {replication_bytes} bytes for \
+                "{} connections of {CONNECTION_BYTES} bytes exceed half of the {replication_bytes} bytes for \
                  replication (memory_mb, memory.shares.replication)",
                 self.followers
             );
@@ -140,39 +141,39 @@
 }
 
 impl FollowSettings {
-    /// Whom a node in `own_zone` follows.
+    /// The options of a follower in `own_zone`.
     pub fn options(&self, own_zone: &str) -> FollowOptions {
         let zone = self.zone.as_deref().unwrap_or(own_zone);
         let control = |entry: &ControlEntry| ControlAddress {
             address: entry.address,
-            zone: named(&entry.zone),
+            zone: non_empty(&entry.zone),
             api: entry.api,
         };
         FollowOptions {
-            zone: named(zone),
+            zone: non_empty(zone),
             controls: self.controls.iter().map(control).collect(),
             return_ms: self.return_s * 1000.0,
         }
     }
 
-    /// Checks that the node takes its configuration from its control nodes alone.
+    /// Checks that the node receives its configuration only from its control nodes.
     pub fn check(&self, deploy: &Deploy) -> Result<(), ConfigError> {
         if self.controls.is_empty() {
-            return Err(ConfigError::new("follow.control", "no control node"));
+            return Err(ConfigError::new("follow.control", "at least one control node is required"));
         }
         if self.invokers == 0 {
-            return Err(ConfigError::new("follow.invokers", "not above 0"));
+            return Err(ConfigError::new("follow.invokers", "must be above 0"));
         }
         if !self.return_s.is_finite() || self.return_s <= 0.0 {
-            return Err(ConfigError::new("follow.return_s", "not above 0"));
+            return Err(ConfigError::new("follow.return_s", "must be above 0"));
         }
         let mut seen = BTreeSet::new();
         for control in &self.controls {
             if control.address.port() == 0 {
-                return Err(ConfigError::new("follow.control.address", "port 0"));
+                return Err(ConfigError::new("follow.control.address", "port must not be 0"));
             }
             if !seen.insert(control.address) {
-                let what = format!("{} stands twice", control.address);
+                let what = format!("duplicate address {}", control.address);
                 return Err(ConfigError::new("follow.control.address", what));
             }
         }
@@ -185,7 +186,7 @@
         ] {
             if is_present {
                 let what =
-                    "does not go with [follow]: a follower has its configuration from its control nodes";
+                    "can't be combined with [follow]: a follower receives its configuration from its control nodes";
                 return Err(ConfigError::new(key, what));
             }
         }
--- a/crates/node/src/life/roles/tests.rs
+++ b/crates/node/src/life/roles/tests.rs
@@ -18,15 +18,15 @@
     deploy.check().map(|()| deploy)
 }
 
-/// Guards the promise that a bad setting is named by its key in one line.
+/// Guards the format of errors: one line that names the key at fault.
 #[test]
-fn a_bad_role_is_named_by_its_key_in_one_line() {
+fn role_errors_name_the_key_in_one_line() {
     for (sections, key) in [
         (vec!["[feed]\n"], "feed"),
         (vec![FEED, "colour = 1\n"], "feed.colour"),
         (vec![FEED, "followers = 0\n"], "feed.followers"),
         (vec![FEED, "followers = 2000\n"], "feed.followers"),
-        // Their connections would leave no room for messages.
+        // The connections would leave no room for messages in the replication account.
         (vec![FEED, "followers = 400\n"], "feed.followers"),
         (vec![FEED, "full_copies = 0\n"], "feed.full_copies"),
         (vec![FEED, "bytes_per_s = 10.0\n"], "feed.bytes_per_s"),
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn roles_are_off_unless_named_and_have_bounds_without_being_told() {
+fn roles_are_off_by_default_and_their_limits_have_defaults() {
     let neither = check(&[FUNCTION, WORKER, REPLICATION]).expect("neither");
     assert!(neither.feed.is_none() && neither.follow.is_none());
     let control = check(&[FUNCTION, WORKER, REPLICATION, FEED]).expect("control node");
@@ -65,7 +65,7 @@
     assert_eq!(follow.controls[0].zone, "a");
 }
 
-/// Guards control nodes of large fleets: more memory makes room for more followers.
+/// Guards against rejecting the many followers of a large fleet on a control node with enough memory.
 #[test]
 fn more_memory_makes_room_for_more_followers() {
     let text = format!("{NODE}memory_mb = 512\nsockets = 4096\n{CLASS}{FEED}followers = 440\n");
