--- a/crates/node/src/life/config.rs
+++ b/crates/node/src/life/config.rs
@@ -11,21 +11,21 @@
 pub struct ConfigError {
     /// The key at fault.
     pub key: String,
-    /// What is wrong with it.
-    pub what: String,
+    /// What is wrong with its value.
+    pub reason: String,
 }
 
 impl ConfigError {
     /// Creates an error at a key; line breaks in the description become spaces.
-    pub fn new(key: impl Into<String>, what: impl fmt::Display) -> Self {
-        let what = what.to_string().replace('\n', " ");
-        ConfigError { key: key.into(), what }
+    pub fn new(key: impl Into<String>, reason: impl fmt::Display) -> Self {
+        let reason = reason.to_string().replace('\n', " ");
+        ConfigError { key: key.into(), reason }
     }
 }
 
 impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "configuration: {}: {}", self.key, self.what)
+        write!(f, "configuration: {}: {}", self.key, self.reason)
     }
 }
 
@@ -41,7 +41,7 @@
     /// Listen address for operators, which overrides the file's.
     pub admin: Option<String>,
     /// A folder that this process and another one of the same invoker can both write to.
-    pub shared: Option<PathBuf>,
+    pub shared_folder: Option<PathBuf>,
 }
 
 impl Source {
@@ -53,21 +53,21 @@
             path: path.into(),
             listen: variable("PROXY_LISTEN"),
             admin: variable("PROXY_ADMIN"),
-            shared: variable("TMPDIR").map(PathBuf::from),
+            shared_folder: variable("TMPDIR").map(PathBuf::from),
         })
     }
 
     /// Reads the file's current content.
-    pub fn read(&self) -> Result<Platform, ConfigError> {
+    pub fn read(&self) -> Result<PlatformConfig, ConfigError> {
         let text = std::fs::read_to_string(&self.path);
         let text = text.map_err(|error| ConfigError::new("PROXY_CONFIG", error))?;
-        Platform::read(&text, self.listen.as_deref(), self.admin.as_deref())
+        PlatformConfig::read(&text, self.listen.as_deref(), self.admin.as_deref())
     }
 }
 
 /// The platform's configuration.
 #[derive(Debug)]
-pub struct Platform {
+pub struct PlatformConfig {
     /// Listen address for clients.
     pub listen: SocketAddr,
     /// Listen address for operators; without one there is no operators' interface.
@@ -83,7 +83,7 @@
     /// Number of the last known event of the command channel.
     pub cursor: u64,
     /// The known events, in order.
-    pub known: Vec<News>,
+    pub known_events: Vec<News>,
     /// The settings object.
     pub settings: Value,
 }
@@ -93,7 +93,7 @@
 /// Default memory limit.
 const DEFAULT_MEMORY_MB: u64 = 128;
 
-impl Platform {
+impl PlatformConfig {
     /// Parses the configuration; `listen` and `admin` override its own values if given.
     pub fn read(text: &str, listen: Option<&str>, admin: Option<&str>) -> Result<Self, ConfigError> {
         let config: Value =
@@ -103,17 +103,17 @@
             Deserialize::deserialize(&config["known"]).map_err(|error| ConfigError::new("known", error))?;
         let settings = &config["settings"];
         if settings["classes"].as_array().is_none_or(Vec::is_empty) {
-            return Err(ConfigError::new("settings.classes", "no list of classes"));
+            return Err(ConfigError::new("settings.classes", "must be a list of at least one class"));
         }
         let admin = match (admin, &config["admin"]) {
             (Some(admin), _) => Some(address("admin", Some(admin))?),
             (None, Value::Null) => None,
             (None, Value::String(admin)) => Some(address("admin", Some(admin))?),
             (None, other) => {
-                return Err(ConfigError::new("admin", format!("{other} is no address and port")))
+                return Err(ConfigError::new("admin", format!("{other} is not an address with a port")))
             }
         };
-        Ok(Platform {
+        Ok(PlatformConfig {
             listen: address("listen", listen)?,
             admin,
             seed: seed(&config["seed"])?,
@@ -121,7 +121,7 @@
             memory_mb: config["limits"]["memory_mb"].as_f64().map_or(DEFAULT_MEMORY_MB, |limit| limit as u64),
             channel: address("channel", config["channel"].as_str())?,
             cursor: known.cursor,
-            known: known.cmds,
+            known_events: known.cmds,
             settings: settings.clone(),
         })
     }
@@ -139,11 +139,11 @@
 /// Parses the address at a key.
 pub fn address(key: &str, text: Option<&str>) -> Result<SocketAddr, ConfigError> {
     let text = text.ok_or_else(|| ConfigError::new(key, "missing"))?;
-    text.parse().map_err(|_| ConfigError::new(key, format!("{text:?} is no address and port")))
+    text.parse().map_err(|_| ConfigError::new(key, format!("{text:?} is not an address with a port")))
 }
 
 fn seed(value: &Value) -> Result<u64, ConfigError> {
-    let invalid = || ConfigError::new("seed", "neither a number nor up to 16 hex digits");
+    let invalid = || ConfigError::new("seed", "must be a number or up to 16 hex digits");
     match value {
         Value::String(text) => u64::from_str_radix(text, 16).map_err(|_| invalid()),
         Value::Number(number) => number.as_u64().ok_or_else(invalid),
--- a/crates/node/src/life/deploy/check.rs
+++ b/crates/node/src/life/deploy/check.rs
@@ -50,8 +50,8 @@
             check_positive("memory.base_mb", base)?;
         }
         if !(0.0..=MAX_RESERVE_PERCENT).contains(&self.memory.reserve_percent) {
-            let what = format!("must be from 0 to {MAX_RESERVE_PERCENT}");
-            return Err(ConfigError::new("memory.reserve_percent", what));
+            let reason = format!("must be from 0 to {MAX_RESERVE_PERCENT}");
+            return Err(ConfigError::new("memory.reserve_percent", reason));
         }
         let budget = deploy_budget(&self.memory_settings(), MIN_BASE_BYTES)?;
         if let Some(follow) = &self.follow {
@@ -89,13 +89,13 @@
         for function in &self.functions {
             check_positive("function.lanes", f64::from(function.lanes))?;
             if !self.classes.iter().any(|class| class.name == function.class) {
-                let what = format!("unknown class {:?} in function {:?}", function.class, function.name);
-                return Err(ConfigError::new("function.class", what));
+                let reason = format!("unknown class {:?} in function {:?}", function.class, function.name);
+                return Err(ConfigError::new("function.class", reason));
             }
             let is_known = self.tenants.iter().any(|tenant| tenant.name == function.tenant);
             if !self.tenants.is_empty() && !is_known {
-                let what = format!("unknown tenant {:?} in function {:?}", function.tenant, function.name);
-                return Err(ConfigError::new("function.tenant", what));
+                let reason = format!("unknown tenant {:?} in function {:?}", function.tenant, function.name);
+                return Err(ConfigError::new("function.tenant", reason));
             }
         }
         Ok(())
--- a/crates/node/src/life/handover.rs
+++ b/crates/node/src/life/handover.rs
@@ -44,12 +44,12 @@
 
 impl OverridesHandle {
     /// Keeps the overrides in memory only.
-    pub fn alone(invoker: &Arc<Invoker>) -> Self {
+    pub fn in_memory(invoker: &Arc<Invoker>) -> Self {
         OverridesHandle { invoker: invoker.clone(), files: None }
     }
 
     /// Shares the overrides through files. `on_succession` is called with the number of processes whenever it changes.
-    pub fn beside(
+    pub fn shared(
         invoker: &Arc<Invoker>,
         files: SharedFiles,
         on_succession: impl Fn(usize) + Send + 'static,
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Whether the overrides on disk have been read. A successor must not serve before that.
+    /// Whether the overrides are known: read from disk, or given up as damaged. A successor must not serve before that.
     pub fn has_overrides(&self) -> bool {
         self.files.as_ref().is_none_or(|(_, status)| status.has_overrides.load(Ordering::Acquire))
     }
--- a/crates/node/src/life/handover/sync.rs
+++ b/crates/node/src/life/handover/sync.rs
@@ -24,7 +24,7 @@
 /// The status that the synchronisation thread publishes to all others.
 pub(super) struct SyncStatus {
     pub succession: Mutex<Succession>,
-    /// Whether the overrides on disk have been read.
+    /// Whether the overrides are known: read from disk, or given up as damaged.
     pub has_overrides: AtomicBool,
 }
 
--- a/crates/node/src/life/platform.rs
+++ b/crates/node/src/life/platform.rs
@@ -1,6 +1,6 @@
 //! Runs the daemon on the hosting platform: start-up, serving, handover to a successor and shutdown.
 use super::accounts::{self, FleetSize};
-use super::config::{ConfigError, Platform, Source};
+use super::config::{ConfigError, PlatformConfig, Source};
 use super::handover::{self, OverridesHandle, SharedFiles};
 use super::spawn;
 use crate::core::{monotonic_ms, Invoker};
@@ -139,10 +139,10 @@
 
 /// Takes a slot in the folder shared with another process of the same invoker; none without an operators' address or a
 /// shared folder.
-fn join(config: &Platform, source: &Source) -> Option<SharedFiles> {
-    let (_, shared) = (config.admin?, source.shared.as_ref()?);
+fn join(config: &PlatformConfig, source: &Source) -> Option<SharedFiles> {
+    let (_, shared_folder) = (config.admin?, source.shared_folder.as_ref()?);
     // Several invokers may be given the same parent folder.
-    let folder = shared.join(format!("corkbay-{}", config.listen.to_string().replace(':', "-")));
+    let folder = shared_folder.join(format!("corkbay-{}", config.listen.to_string().replace(':', "-")));
     SharedFiles::join(&folder)
         .inspect_err(
             |error| tracing::error!(%error, ?folder, "handover: nothing is shared with another process"),
@@ -151,7 +151,7 @@
 }
 
 /// Serves until a signal stops the process; returns true if all requests were answered.
-pub fn run(config: Platform, source: &Source) -> Result<bool, ConfigError> {
+pub fn run(config: PlatformConfig, source: &Source) -> Result<bool, ConfigError> {
     let mut signals = signals()?;
     let base_bytes = accounts::measured_base();
     let files = join(&config, source);
@@ -180,16 +180,16 @@
     });
     let worker_room = limits.clone();
     invoker.on_workers(move |workers| worker_room.make_room_for(workers));
-    for event in config.known {
+    for event in config.known_events {
         event.remember(&invoker);
     }
     let overrides = match files {
         Some(files) => {
             let limits = limits.clone();
-            let overrides = OverridesHandle::beside(&invoker, files, move |parts| limits.share(parts));
+            let overrides = OverridesHandle::shared(&invoker, files, move |parts| limits.share(parts));
             overrides.map_err(|error| ConfigError::new("TMPDIR", error))?
         }
-        None => OverridesHandle::alone(&invoker),
+        None => OverridesHandle::in_memory(&invoker),
     };
     if let Some(admin) = config.admin {
         let account = ledger.account(Purpose::Operators).clone();
--- a/crates/node/src/life/roles.rs
+++ b/crates/node/src/life/roles.rs
@@ -124,17 +124,17 @@
             return Err(ConfigError::new("feed.bytes_per_s", format!("must be at least {MIN_BYTES_PER_S}")));
         }
         if self.followers > sockets / 2 {
-            let what = format!("{} exceeds half of the {sockets} sockets", self.followers);
-            return Err(ConfigError::new("feed.followers", what));
+            let reason = format!("{} exceeds half of the {sockets} sockets", self.followers);
+            return Err(ConfigError::new("feed.followers", reason));
         }
         let max_followers = replication_bytes / CONNECTION_MEMORY_DIVISOR / CONNECTION_BYTES;
         if self.followers > max_followers {
-            let what = format!(
+            let reason = format!(
                 "{} connections of {CONNECTION_BYTES} bytes exceed half of the {replication_bytes} bytes for \
                  replication (memory_mb, memory.shares.replication)",
                 self.followers
             );
-            return Err(ConfigError::new("feed.followers", what));
+            return Err(ConfigError::new("feed.followers", reason));
         }
         Ok(())
     }
@@ -173,8 +173,8 @@
                 return Err(ConfigError::new("follow.control.address", "port must not be 0"));
             }
             if !seen.insert(control.address) {
-                let what = format!("duplicate address {}", control.address);
-                return Err(ConfigError::new("follow.control.address", what));
+                let reason = format!("duplicate address {}", control.address);
+                return Err(ConfigError::new("follow.control.address", reason));
             }
         }
         for (key, is_present) in [
@@ -185,9 +185,9 @@
             ("feed", deploy.feed.is_some()),
         ] {
             if is_present {
-                let what =
+                let reason =
                     "can't be combined with [follow]: a follower receives its configuration from its control nodes";
-                return Err(ConfigError::new(key, what));
+                return Err(ConfigError::new(key, reason));
             }
         }
         Ok(())
