--- a/crates/feed/src/buckets.rs
+++ b/crates/feed/src/buckets.rs
@@ -1,18 +1,18 @@
-//! Hashes over the records of a node, by which two nodes find where they differ.
+//! Hashes over the records of a node, which let two nodes find the buckets in which they differ.
 use crate::{stable_hash, FeedRecord};
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
 use serde::{Deserialize, Serialize};
 
-/// The number of buckets.
+/// The number of buckets into which keys are partitioned.
 pub const BUCKETS: usize = 256;
 
-const WORD: usize = u64::BITS as usize;
+const WORD_BITS: usize = u64::BITS as usize;
 const HASH_BYTES: usize = size_of::<u64>();
-/// Weighs the number of records in a bucket's hash. It is odd, so that different numbers weigh differently.
+/// Multiplier of the record count in a bucket's hash. It is odd, so that different counts give different products.
 const COUNT_WEIGHT: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// One of the [`BUCKETS`] parts of the keys.
+/// The number of one of the [`BUCKETS`] buckets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BucketNumber(pub u8);
 
@@ -23,7 +23,7 @@
         BucketNumber(first)
     }
 
-    /// All buckets in order.
+    /// All buckets in ascending order.
     pub fn all() -> impl Iterator<Item = BucketNumber> {
         (0..=u8::MAX).map(BucketNumber)
     }
@@ -33,29 +33,29 @@
     }
 }
 
-/// Some of the buckets.
+/// A set of buckets.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct BucketSet {
-    words: [u64; BUCKETS / WORD],
+    words: [u64; BUCKETS / WORD_BITS],
 }
 
 impl BucketSet {
-    /// All buckets.
+    /// The set of all buckets.
     pub fn all() -> Self {
-        BucketSet { words: [u64::MAX; BUCKETS / WORD] }
+        BucketSet { words: [u64::MAX; BUCKETS / WORD_BITS] }
     }
 
-    /// Adds a bucket.
+    /// Adds a bucket to the set.
     pub fn insert(&mut self, bucket: BucketNumber) {
-        self.words[bucket.index() / WORD] |= 1 << (bucket.index() % WORD);
+        self.words[bucket.index() / WORD_BITS] |= 1 << (bucket.index() % WORD_BITS);
     }
 
-    /// Whether a bucket is among them.
+    /// Whether the set contains a bucket.
     pub fn contains(&self, bucket: BucketNumber) -> bool {
-        self.words[bucket.index() / WORD] & (1 << (bucket.index() % WORD)) != 0
+        self.words[bucket.index() / WORD_BITS] & (1 << (bucket.index() % WORD_BITS)) != 0
     }
 
-    /// Whether there is none.
+    /// Whether the set contains no bucket.
     pub fn is_empty(&self) -> bool {
         self.words.iter().all(|word| *word == 0)
     }
@@ -69,18 +69,18 @@
     }
 }
 
-/// A hash over the records of each bucket. As text, and so in messages, base64 of 8 bytes each.
+/// One hash per bucket over the records in it. As text, and so in messages: base64 of 8 big-endian bytes per bucket.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(into = "String", try_from = "String")]
 pub struct BucketHashes(Box<[u64; BUCKETS]>);
 
-/// A text that isn't the hashes of buckets.
+/// The text can't be parsed as [`BucketHashes`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("not the hashes of {BUCKETS} buckets in base64")]
+#[error("expected the hashes of {BUCKETS} buckets in base64")]
 pub struct BadBucketHashes;
 
 impl BucketHashes {
-    /// The buckets whose hashes differ, in order.
+    /// The buckets whose hashes differ, in ascending order.
     pub fn differing(&self, other: &BucketHashes) -> Vec<BucketNumber> {
         let differs = |bucket: &BucketNumber| self.0[bucket.index()] != other.0[bucket.index()];
         BucketNumber::all().filter(differs).collect()
@@ -112,7 +112,7 @@
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct Bucket {
-    /// The wrapping sum of the records' hashes: the order in which they came doesn't matter.
+    /// The wrapping sum of the records' hashes, which doesn't depend on the order of insertion.
     sum: u64,
     count: u64,
 }
@@ -123,7 +123,7 @@
     }
 }
 
-/// Keeps the hashes of the buckets while records come and go.
+/// Maintains the bucket hashes incrementally as records are inserted, replaced and removed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BucketIndex {
     buckets: Box<[Bucket; BUCKETS]>,
@@ -136,32 +136,32 @@
 }
 
 impl BucketIndex {
-    /// The index of no records.
+    /// An empty index.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Adds the record of a key that had none.
+    /// Adds the record of a key that has none in the index.
     pub fn insert(&mut self, record: &impl FeedRecord) {
         let bucket = self.bucket(record);
         bucket.sum = bucket.sum.wrapping_add(record.hash());
         bucket.count += 1;
     }
 
-    /// Puts a record in the place of the one that stood under its key.
+    /// Replaces the record of a key by another one.
     pub fn replace<R: FeedRecord>(&mut self, old: &R, new: &R) {
         self.remove(old);
         self.insert(new);
     }
 
-    /// Takes away a record that was added.
+    /// Removes a record that was added before.
     pub fn remove(&mut self, record: &impl FeedRecord) {
         let bucket = self.bucket(record);
         bucket.sum = bucket.sum.wrapping_sub(record.hash());
         bucket.count = bucket.count.saturating_sub(1);
     }
 
-    /// The hashes as they are.
+    /// The current hashes.
     pub fn hashes(&self) -> BucketHashes {
         let mut hashes = Box::new([0; BUCKETS]);
         for (hash, bucket) in hashes.iter_mut().zip(self.buckets.iter()) {
--- a/crates/feed/src/copies.rs
+++ b/crates/feed/src/copies.rs
@@ -1,54 +1,54 @@
-//! Who may be sent a copy, and who is next to be sent a page of one.
+//! Admission of copies, and the queue of sessions that are to be sent a page.
 use crate::{Ms, SessionNumber, TokenBucket};
 use std::collections::VecDeque;
 
-/// What became of a wish for a copy.
+/// The outcome of a request for a copy slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Admission {
     Admitted,
-    Waits,
-    Refused,
+    Queued,
+    Rejected,
 }
 
-/// Bounds copies at a time, those who wait for one, and the bytes a second of all.
+/// Limits concurrent copies, the sessions that wait for one, and the total bytes per second.
 #[derive(Debug)]
 pub(crate) struct CopyQueue {
-    most: usize,
+    max_running: usize,
     running: usize,
-    most_waiting: usize,
+    max_waiting: usize,
     waiting: VecDeque<SessionNumber>,
-    /// Those whose next page is to be sent, in the order in which they asked.
-    pages: VecDeque<SessionNumber>,
+    /// The sessions whose next page is to be sent, in the order of their requests.
+    page_queue: VecDeque<SessionNumber>,
     pub tokens: TokenBucket,
 }
 
 impl CopyQueue {
-    pub fn new(most: usize, most_waiting: usize, tokens: TokenBucket) -> Self {
+    pub fn new(max_running: usize, max_waiting: usize, tokens: TokenBucket) -> Self {
         CopyQueue {
-            most: most.max(1),
+            max_running: max_running.max(1),
             running: 0,
-            most_waiting,
+            max_waiting,
             waiting: VecDeque::new(),
-            pages: VecDeque::new(),
+            page_queue: VecDeque::new(),
             tokens,
         }
     }
 
-    /// Asks for a copy; who waits gets it from [`end`](Self::end).
-    pub fn begin(&mut self, session: SessionNumber) -> Admission {
-        if self.running < self.most {
+    /// Requests a copy slot; a queued session is granted one later by [`release_slot`](Self::release_slot).
+    pub fn request_slot(&mut self, session: SessionNumber) -> Admission {
+        if self.running < self.max_running {
             self.running += 1;
             return Admission::Admitted;
         }
-        if self.waiting.len() >= self.most_waiting {
-            return Admission::Refused;
+        if self.waiting.len() >= self.max_waiting {
+            return Admission::Rejected;
         }
         self.waiting.push_back(session);
-        Admission::Waits
+        Admission::Queued
     }
 
-    /// Ends a copy that was admitted and returns who is admitted in its place.
-    pub fn end(&mut self) -> Option<SessionNumber> {
+    /// Releases the slot of an admitted copy and returns the session that is admitted in its place.
+    pub fn release_slot(&mut self) -> Option<SessionNumber> {
         let next = self.waiting.pop_front();
         if next.is_none() {
             self.running = self.running.saturating_sub(1);
@@ -56,28 +56,28 @@
         next
     }
 
-    /// Puts a session at the end of those that are to be sent a page.
-    pub fn ask_page(&mut self, session: SessionNumber) {
-        self.pages.push_back(session);
+    /// Appends a session to the queue of those that are to be sent a page.
+    pub fn queue_page(&mut self, session: SessionNumber) {
+        self.page_queue.push_back(session);
     }
 
-    /// Whoever is to be sent a page now.
+    /// Takes the session that is to be sent a page now, if the rate limit allows one.
     pub fn next_page(&mut self, now: Ms) -> Option<SessionNumber> {
-        if self.pages.is_empty() || !self.tokens.is_open(now) {
+        if self.page_queue.is_empty() || !self.tokens.may_send(now) {
             return None;
         }
-        self.pages.pop_front()
+        self.page_queue.pop_front()
     }
 
-    /// When the next page may be sent, where somebody waits for one.
+    /// The earliest time for the next page, in milliseconds, if a session waits for one.
     pub fn next_page_at(&self) -> Option<Ms> {
-        (!self.pages.is_empty()).then(|| self.tokens.opens_at())
+        (!self.page_queue.is_empty()).then(|| self.tokens.available_at())
     }
 
-    /// Forgets a session that waits for anything.
-    pub fn forget(&mut self, session: SessionNumber) {
+    /// Removes a session from both queues.
+    pub fn remove_session(&mut self, session: SessionNumber) {
         self.waiting.retain(|waiting| *waiting != session);
-        self.pages.retain(|waiting| *waiting != session);
+        self.page_queue.retain(|waiting| *waiting != session);
     }
 
     pub fn running(&self) -> usize {
--- a/crates/feed/src/feed.rs
+++ b/crates/feed/src/feed.rs
@@ -1,4 +1,4 @@
-//! A control node's side of the feed.
+//! The control node's side of the feed.
 mod copying;
 mod streaming;
 
@@ -11,69 +11,70 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Longest name of a follower, in bytes.
-const LONGEST_NAME: usize = 256;
+/// Maximum length of a follower's name, in bytes.
+const MAX_NAME_BYTES: usize = 256;
 
-/// Tells the connections of a control node apart. The caller never uses one twice.
+/// Identifies a connection of a control node. The caller never reuses a number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SessionNumber(pub u64);
 
 /// Why a connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// There is no place for the follower.
+    /// The control node has no capacity for the follower.
     Busy,
-    /// It hasn't been heard for too long.
+    /// The follower sent no message for [`FeedLimits::silence_ms`].
     Silent,
-    /// It has connected anew.
+    /// The follower opened a new connection.
     Replaced,
-    /// It keeps a place among the copies and doesn't confirm what it was sent.
+    /// The follower holds a copy slot and didn't confirm a page for [`FeedLimits::stall_ms`].
     Stalled,
-    /// It said what doesn't fit.
+    /// The follower sent a message that violates the protocol.
     Unexpected,
 }
 
-/// What the caller is to do, in order.
+/// An action for the caller to carry out, in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FeedAction<R> {
     /// Send a message.
     Send {
-        /// To whom.
+        /// The connection to send it on.
         session: SessionNumber,
-        /// What.
+        /// The message.
         message: ControlMessage<R>,
     },
-    /// Close a connection, after what was sent to it before. It is forgotten already;
+    /// Close a connection, after sending the earlier messages to it. The feed has removed the session already;
     /// [`Feed::disconnected`] need not be called.
     Close {
-        /// Which one.
+        /// The connection to close.
         session: SessionNumber,
-        /// Why.
+        /// The reason.
         reason: CloseReason,
     },
 }
 
 /// Sends followers the changes of a control node's records.
 ///
-/// The caller passes on what happens, then carries out [`actions`](Self::actions), and calls [`tick`](Self::tick) once
+/// The caller reports events, then carries out the [`actions`](Self::actions), and calls [`tick`](Self::tick) once
 /// [`next_wakeup`](Self::next_wakeup) is reached and after changes.
 #[derive(Debug)]
 pub struct Feed<R> {
     limits: FeedLimits,
     start: Position,
     history: ChangeHistory,
-    /// The revision at which each bucket changed last.
+    /// The revision of the last change in each bucket.
     bucket_changed: [u64; BUCKETS],
     sessions: BTreeMap<SessionNumber, Session>,
     copies: CopyQueue,
-    /// Whether there are changes that nobody was sent.
-    has_unsent: bool,
+    /// Whether there are changes since the last tick, which no follower has been sent yet.
+    has_unsent_changes: bool,
     actions: Vec<FeedAction<R>>,
     counters: FeedCounters,
 }
 
 impl<R: FeedRecord> Feed<R> {
-    /// A feed that begins at `start` (see [`Position::start`]): what the records hold by then counts as no change.
+    /// A feed that begins at the position `start` (see [`Position::start`]); records that exist by then don't count as
+    /// changes. `now` is in milliseconds.
     pub fn new(limits: FeedLimits, start: Position, now: Ms) -> Self {
         let tokens = TokenBucket::new(limits.bytes_per_s, now);
         Feed {
@@ -82,7 +83,7 @@
             bucket_changed: [0; BUCKETS],
             sessions: BTreeMap::new(),
             copies: CopyQueue::new(limits.full_copies, limits.waiting_copies, tokens),
-            has_unsent: false,
+            has_unsent_changes: false,
             actions: Vec::new(),
             counters: FeedCounters::default(),
             limits,
@@ -94,33 +95,33 @@
         self.start.at(self.history.revision())
     }
 
-    /// The record of a key was changed, by whomever. [`Records`] show the new one already. It goes out with the next
-    /// [`tick`](Self::tick).
+    /// Reports that the record of a key changed, whatever the source of the change. [`Records`] must return the new record
+    /// already. The change is sent with the next [`tick`](Self::tick).
     pub fn changed(&mut self, key: &Arc<str>, now: Ms) -> Position {
-        let revision = self.history.push(key);
+        let revision = self.history.record_change(key);
         self.bucket_changed[usize::from(BucketNumber::of(key).0)] = revision;
-        self.has_unsent = true;
+        self.has_unsent_changes = true;
         for session in self.sessions.values_mut() {
             session.behind_since.get_or_insert(now);
         }
         self.position()
     }
 
-    /// A follower has connected.
+    /// Reports that a follower has connected.
     pub fn connected(&mut self, number: SessionNumber, now: Ms) {
         if self.sessions.len() >= self.limits.followers {
-            self.refuse(number);
+            self.reject_busy(number);
             return;
         }
         self.sessions.insert(number, Session::new(now));
     }
 
-    /// A follower has closed its connection, or it broke.
+    /// Reports that a follower's connection was closed by the follower or broke.
     pub fn disconnected(&mut self, number: SessionNumber) {
         self.remove(number);
     }
 
-    /// A follower has said something. What a connection says that was closed is ignored.
+    /// Handles a message from a follower. Messages on a closed connection are ignored.
     pub fn message(
         &mut self,
         number: SessionNumber,
@@ -129,21 +130,21 @@
         now: Ms,
     ) {
         let Some(session) = self.sessions.get_mut(&number) else { return };
-        session.last_heard = now;
+        session.last_received = now;
         match message {
-            FollowerMessage::Hello { node, position } => self.greet(number, node, position, now),
-            FollowerMessage::Buckets { hashes } => self.compare(number, &hashes, records, now),
-            FollowerMessage::NextPage => self.confirm_page(number),
-            FollowerMessage::Applied { position } => self.applied(number, position),
+            FollowerMessage::Hello { node, position } => self.handle_hello(number, node, position, now),
+            FollowerMessage::Buckets { hashes } => self.handle_buckets(number, &hashes, records, now),
+            FollowerMessage::NextPage => self.handle_next_page(number),
+            FollowerMessage::Applied { position } => self.handle_applied(number, position),
         }
         self.send_changes(number, records, now);
         self.send_pages(records, now);
     }
 
-    /// Does what is due: sends changes, pages and heartbeats, and closes the connections of silent followers.
+    /// Performs what is due: sends changes, pages and heartbeats, and closes the connections of followers that timed out.
     pub fn tick(&mut self, records: &impl Records<R>, now: Ms) {
-        self.close_silent(now);
-        if std::mem::take(&mut self.has_unsent) {
+        self.close_timed_out(now);
+        if std::mem::take(&mut self.has_unsent_changes) {
             let numbers: Vec<SessionNumber> = self.sessions.keys().copied().collect();
             for number in numbers {
                 self.send_changes(number, records, now);
@@ -153,31 +154,31 @@
         self.send_heartbeats(now);
     }
 
-    /// When [`tick`](Self::tick) is to be called at the latest; nothing while there is nothing to wait for.
+    /// The latest time at which [`tick`](Self::tick) must be called, in milliseconds; `None` while nothing is due.
     pub fn next_wakeup(&self) -> Option<Ms> {
-        if self.has_unsent && !self.sessions.is_empty() {
+        if self.has_unsent_changes && !self.sessions.is_empty() {
             return Some(Ms::MIN);
         }
-        let of_sessions = self.sessions.values().map(|session| session.next_wakeup(&self.limits));
-        of_sessions.chain(self.copies.next_page_at()).reduce(Ms::min)
+        let session_wakeups = self.sessions.values().map(|session| session.next_wakeup(&self.limits));
+        session_wakeups.chain(self.copies.next_page_at()).reduce(Ms::min)
     }
 
-    /// Takes what is to be done.
+    /// Takes the pending actions.
     pub fn actions(&mut self) -> Vec<FeedAction<R>> {
         std::mem::take(&mut self.actions)
     }
 
-    /// All followers that said who they are, and how far each is behind.
+    /// The lag of each follower that has sent its name.
     pub fn followers(&self, now: Ms) -> Vec<FollowerLag> {
         self.sessions.values().filter_map(|session| self.lag_of(session, now)).collect()
     }
 
-    /// The follower that is the most changes behind.
+    /// The follower with the most unacknowledged changes.
     pub fn oldest(&self, now: Ms) -> Option<FollowerLag> {
         self.followers(now).into_iter().max_by_key(|lag| lag.behind)
     }
 
-    /// The followers that haven't been up to date for longer than so many milliseconds.
+    /// The followers that haven't been up to date for longer than `longer_than`, in milliseconds.
     pub fn laggards(&self, longer_than: Ms, now: Ms) -> Vec<FollowerLag> {
         self.followers(now).into_iter().filter(|lag| lag.behind_ms > longer_than).collect()
     }
@@ -187,46 +188,47 @@
         self.sessions.len()
     }
 
-    /// Copies of more than one page that are being made, and followers that wait for one.
+    /// The number of running copies (differences of more than one page), and of followers that wait for one.
     pub fn copies(&self) -> (usize, usize) {
         (self.copies.running(), self.copies.waiting())
     }
 
-    /// What was done since the start.
+    /// The counters since the feed was created.
     pub fn counters(&self) -> FeedCounters {
         self.counters
     }
 
-    fn greet(&mut self, number: SessionNumber, node: String, position: Option<Position>, now: Ms) {
-        let is_greeting = matches!(self.sessions.get(&number), Some(Session { stage: Stage::Greeting, .. }));
-        if !is_greeting || node.len() > LONGEST_NAME {
+    fn handle_hello(&mut self, number: SessionNumber, node: String, position: Option<Position>, now: Ms) {
+        let awaits_hello =
+            matches!(self.sessions.get(&number), Some(Session { stage: Stage::AwaitingHello, .. }));
+        if !awaits_hello || node.len() > MAX_NAME_BYTES {
             self.close(number, CloseReason::Unexpected);
             return;
         }
-        let same_node = |entry: &(&SessionNumber, &Session)| entry.1.node.as_ref() == Some(&node);
-        if let Some(older) = self.sessions.iter().find(same_node).map(|entry| *entry.0) {
+        let has_same_node = |entry: &(&SessionNumber, &Session)| entry.1.node.as_ref() == Some(&node);
+        if let Some(older) = self.sessions.iter().find(has_same_node).map(|entry| *entry.0) {
             self.close(older, CloseReason::Replaced);
         }
         if let Some(session) = self.sessions.get_mut(&number) {
             session.node = Some(node);
         }
-        match self.resumable(position) {
+        match self.resumable_revision(position) {
             Some(revision) => self.resume(number, revision, now),
-            None => self.ask_buckets(number, now),
+            None => self.request_buckets(number, now),
         }
     }
 
-    fn close_silent(&mut self, now: Ms) {
+    fn close_timed_out(&mut self, now: Ms) {
         let FeedLimits { silence_ms, stall_ms, .. } = self.limits;
-        let mut ended = Vec::new();
+        let mut timed_out = Vec::new();
         for (number, session) in &self.sessions {
-            if session.last_heard + silence_ms <= now {
-                ended.push((*number, CloseReason::Silent));
+            if session.last_received + silence_ms <= now {
+                timed_out.push((*number, CloseReason::Silent));
             } else if session.is_stalled(stall_ms, now) {
-                ended.push((*number, CloseReason::Stalled));
+                timed_out.push((*number, CloseReason::Stalled));
             }
         }
-        for (number, reason) in ended {
+        for (number, reason) in timed_out {
             self.close(number, reason);
         }
     }
@@ -252,7 +254,7 @@
         self.actions.push(FeedAction::Send { session: number, message });
     }
 
-    fn refuse(&mut self, number: SessionNumber) {
+    fn reject_busy(&mut self, number: SessionNumber) {
         self.counters.busy += 1;
         let message = ControlMessage::Busy { retry_after_ms: self.limits.retry_after_ms as u64 };
         self.actions.push(FeedAction::Send { session: number, message });
@@ -266,8 +268,8 @@
 
     fn remove(&mut self, number: SessionNumber) {
         let Some(mut session) = self.sessions.remove(&number) else { return };
-        self.copies.forget(number);
-        self.end_copy(&mut session);
+        self.copies.remove_session(number);
+        self.release_copy_slot(&mut session);
     }
 
     fn lag_of(&self, session: &Session, now: Ms) -> Option<FollowerLag> {
@@ -278,7 +280,7 @@
             applied: session.applied.map(|applied| self.start.at(applied)),
             behind: revision - session.applied.unwrap_or(0),
             behind_ms: session.behind_since.map_or(0.0, |since| now - since),
-            silent_ms: now - session.last_heard,
+            silent_ms: now - session.last_received,
         })
     }
 }
--- a/crates/feed/src/feed/copying.rs
+++ b/crates/feed/src/feed/copying.rs
@@ -1,22 +1,22 @@
-//! Differences: what a follower is sent whose stream can't go on.
+//! Differences: the records sent to a follower whose change stream can't resume at its position.
 use super::{Feed, SessionNumber};
 use crate::copies::Admission;
-use crate::session::{Copying, Session, Stage, Stream};
+use crate::session::{ChangeStream, Copying, Session, Stage};
 use crate::{
     BucketHashes, BucketNumber, BucketSet, CloseReason, ControlMessage, FeedRecord, Ms, Page, Records,
 };
 
 impl<R: FeedRecord> Feed<R> {
-    pub(super) fn ask_buckets(&mut self, number: SessionNumber, now: Ms) {
+    pub(super) fn request_buckets(&mut self, number: SessionNumber, now: Ms) {
         let Some(session) = self.sessions.get_mut(&number) else { return };
         session.stage = Stage::AwaitingBuckets;
         self.counters.comparisons += 1;
         self.send(number, ControlMessage::SendBuckets, now);
     }
 
-    /// Begins to send what differs. Everything that the follower holds in equal buckets is as new as this moment's
-    /// revision, so the stream can go on from there once the other buckets were sent.
-    pub(super) fn compare(
+    /// Starts to send the buckets that differ. The follower's records in equal buckets are up to date with the current
+    /// revision, so the change stream can resume there once the other buckets have been sent.
+    pub(super) fn handle_buckets(
         &mut self,
         number: SessionNumber,
         hashes: &BucketHashes,
@@ -34,52 +34,52 @@
         if buckets.is_empty() {
             self.send_page(number, Page { records: Vec::new(), is_last: true }, now);
         } else {
-            self.copies.ask_page(number);
+            self.copies.queue_page(number);
         }
     }
 
-    /// The follower has a page on disk and asks for the next.
-    pub(super) fn confirm_page(&mut self, number: SessionNumber) {
+    /// Handles the confirmation that a page is on disk, which requests the next page.
+    pub(super) fn handle_next_page(&mut self, number: SessionNumber) {
         let Some(session) = self.sessions.get_mut(&number) else { return };
         let is_copying = matches!(session.stage, Stage::Copying(_));
-        if is_copying && session.page_out_since.take().is_some() {
-            self.copies.ask_page(number);
+        if is_copying && session.unconfirmed_page_since.take().is_some() {
+            self.copies.queue_page(number);
         } else {
             self.close(number, CloseReason::Unexpected);
         }
     }
 
-    /// Sends pages to those who wait for one, for as long as the bytes a second allow.
+    /// Sends pages to the sessions that wait for one, as far as the rate limit allows.
     pub(super) fn send_pages(&mut self, records: &impl Records<R>, now: Ms) {
         while let Some(number) = self.copies.next_page(now) {
             let Some(session) = self.sessions.get(&number) else { continue };
             let Stage::Copying(copying) = &session.stage else { continue };
             let page = records.page(&copying.buckets, copying.after.as_deref(), self.limits.page_bytes);
-            // A difference that fits one page is no copy.
+            // A difference that fits in one page needs no copy slot.
             let needs_slot = !page.is_last && !session.holds_copy_slot;
-            if !needs_slot || self.begin_copy(number) {
+            if !needs_slot || self.request_copy_slot(number) {
                 self.send_page(number, page, now);
                 self.send_changes(number, records, now);
             }
         }
     }
 
-    /// Gives up the place of a follower among the copies at a time, where it has one.
-    pub(super) fn end_copy(&mut self, session: &mut Session) {
+    /// Releases the copy slot of a session, if it holds one, and passes it to the next session that waits for one.
+    pub(super) fn release_copy_slot(&mut self, session: &mut Session) {
         if !std::mem::take(&mut session.holds_copy_slot) {
             return;
         }
-        let Some(next) = self.copies.end() else { return };
+        let Some(next) = self.copies.release_slot() else { return };
         if let Some(admitted) = self.sessions.get_mut(&next) {
             admitted.holds_copy_slot = true;
             self.counters.copies += 1;
-            self.copies.ask_page(next);
+            self.copies.queue_page(next);
         }
     }
 
-    /// Whether a follower may be sent a copy now; otherwise it waits or is turned away.
-    fn begin_copy(&mut self, number: SessionNumber) -> bool {
-        match self.copies.begin(number) {
+    /// Requests a copy slot and returns whether it was granted; otherwise the session is queued or rejected.
+    fn request_copy_slot(&mut self, number: SessionNumber) -> bool {
+        match self.copies.request_slot(number) {
             Admission::Admitted => {
                 if let Some(session) = self.sessions.get_mut(&number) {
                     session.holds_copy_slot = true;
@@ -87,9 +87,9 @@
                 self.counters.copies += 1;
                 true
             }
-            Admission::Waits => false,
-            Admission::Refused => {
-                self.refuse(number);
+            Admission::Queued => false,
+            Admission::Rejected => {
+                self.reject_busy(number);
                 false
             }
         }
@@ -97,7 +97,7 @@
 
     fn send_page(&mut self, number: SessionNumber, page: Page<R>, now: Ms) {
         let bytes = page.size();
-        self.copies.tokens.take(bytes);
+        self.copies.tokens.consume(bytes);
         self.counters.difference_bytes += bytes as u64;
         let is_complete = page.is_last && self.finish_round(number);
         let Some(session) = self.sessions.get_mut(&number) else { return };
@@ -105,21 +105,21 @@
         let mut last = None;
         if is_complete {
             last = Some(self.start.at(copying.base));
-            session.stage = Stage::Following(Stream::from(copying.base));
+            session.stage = Stage::Following(ChangeStream::from(copying.base));
             self.counters.differences += 1;
         } else {
             copying.after = page.records.last().map(|record| record.key().clone()).filter(|_| !page.is_last);
         }
-        session.page_out_since = Some(now);
+        session.unconfirmed_page_since = Some(now);
         self.send(number, ControlMessage::Difference { records: page.records, last }, now);
     }
 
-    /// Whether the stream can go on after the last page. Otherwise the changes since the comparison were forgotten, and
-    /// another round begins with the buckets that they fell into.
+    /// Returns whether the change stream can resume after the last page. If not, changes since the comparison have dropped
+    /// out of the history, and another round starts with the buckets that have changed since then.
     fn finish_round(&mut self, number: SessionNumber) -> bool {
         let Some(session) = self.sessions.get_mut(&number) else { return false };
         let Stage::Copying(copying) = &mut session.stage else { return false };
-        if self.history.reaches(copying.base) {
+        if self.history.covers(copying.base) {
             return true;
         }
         let base = copying.base;
--- a/crates/feed/src/feed/streaming.rs
+++ b/crates/feed/src/feed/streaming.rs
@@ -1,28 +1,28 @@
-//! The stream of changes, from the history.
+//! Sends the stream of changes from the history.
 use super::{CloseReason, Feed, SessionNumber};
-use crate::session::{Stage, Stream};
+use crate::session::{ChangeStream, Stage};
 use crate::{ControlMessage, FeedRecord, Ms, Position, Records};
 
-/// Some of the changes behind a revision.
-struct Changes<R> {
+/// A batch of changes after a revision.
+struct ChangeBatch<R> {
     upto: u64,
     records: Vec<R>,
     bytes: usize,
 }
 
 impl<R: FeedRecord> Feed<R> {
-    /// The revision from which a stream can go on at this position.
-    pub(super) fn resumable(&self, position: Option<Position>) -> Option<u64> {
+    /// The revision at which the change stream can resume for a follower at this position, if it can.
+    pub(super) fn resumable_revision(&self, position: Option<Position>) -> Option<u64> {
         let position = position?;
         position.behind(self.position())?;
-        self.history.reaches(position.revision).then_some(position.revision)
+        self.history.covers(position.revision).then_some(position.revision)
     }
 
-    /// Goes on from where the follower was. Where there is nothing to send, a heartbeat tells it so.
+    /// Resumes the stream at the follower's revision. If the follower is up to date, a heartbeat tells it so.
     pub(super) fn resume(&mut self, number: SessionNumber, revision: u64, now: Ms) {
         let head = self.history.revision();
         let Some(session) = self.sessions.get_mut(&number) else { return };
-        session.stage = Stage::Following(Stream::from(revision));
+        session.stage = Stage::Following(ChangeStream::from(revision));
         session.acknowledge(revision, head);
         self.counters.resumes += 1;
         if revision == head {
@@ -30,9 +30,10 @@
         }
     }
 
-    /// The follower has told what it holds on disk.
-    pub(super) fn applied(&mut self, number: SessionNumber, position: Option<Position>) {
-        // What counts in the numbers of another control node says nothing here: the follower is still comparing.
+    /// Handles an acknowledgement of the position that the follower has on disk.
+    pub(super) fn handle_applied(&mut self, number: SessionNumber, position: Option<Position>) {
+        // A position of another control node's incarnation can't be compared with this feed's: the follower is still
+        // comparing buckets.
         let Some(position) = position.filter(|position| position.incarnation == self.start.incarnation)
         else {
             return;
@@ -43,12 +44,12 @@
         if let Stage::Following(stream) = &mut session.stage {
             is_expected = position.revision <= stream.sent;
             if is_expected {
-                stream.note_applied(position.revision);
-                let is_copied = position.revision >= stream.base;
+                stream.record_applied(position.revision);
+                let copy_is_on_disk = position.revision >= stream.base;
                 session.acknowledge(position.revision, head);
-                if is_copied {
-                    session.page_out_since = None;
-                    self.end_copy(&mut session);
+                if copy_is_on_disk {
+                    session.unconfirmed_page_since = None;
+                    self.release_copy_slot(&mut session);
                 }
             }
         }
@@ -58,29 +59,29 @@
         }
     }
 
-    /// Sends a follower the changes that it lacks, as far as its window allows.
+    /// Sends a follower the changes that it is missing, as far as its window allows.
     pub(super) fn send_changes(&mut self, number: SessionNumber, records: &impl Records<R>, now: Ms) {
         let head = self.history.revision();
         loop {
             let Some(session) = self.sessions.get_mut(&number) else { return };
             let Stage::Following(stream) = &mut session.stage else { return };
-            let (sent, room) = (stream.sent, stream.room(&self.limits));
-            if sent == head || room == 0 {
+            let (sent, window) = (stream.sent, stream.remaining_window(&self.limits));
+            if sent == head || window == 0 {
                 return;
             }
-            let Some(changes) = self.read_changes(sent, room, records) else {
+            let Some(changes) = self.read_changes(sent, window, records) else {
                 self.counters.compacted += 1;
-                self.ask_buckets(number, now);
+                self.request_buckets(number, now);
                 return;
             };
-            self.send_page_of_changes(number, sent, changes, now);
+            self.send_change_batch(number, sent, changes, now);
         }
     }
 
-    fn send_page_of_changes(&mut self, number: SessionNumber, sent: u64, changes: Changes<R>, now: Ms) {
+    fn send_change_batch(&mut self, number: SessionNumber, sent: u64, changes: ChangeBatch<R>, now: Ms) {
         let Some(session) = self.sessions.get_mut(&number) else { return };
         if let Stage::Following(stream) = &mut session.stage {
-            stream.note_sent(changes.upto, changes.records.len(), changes.bytes);
+            stream.record_sent(changes.upto, changes.records.len(), changes.bytes);
         }
         self.counters.changes += changes.records.len() as u64;
         let after = self.start.at(sent);
@@ -88,13 +89,20 @@
         self.send(number, message, now);
     }
 
-    /// The next changes behind a revision, at most `most` of them and a page; nothing where they were forgotten.
-    fn read_changes(&self, sent: u64, most: usize, records: &impl Records<R>) -> Option<Changes<R>> {
-        let mut changes = Changes { upto: sent, records: Vec::new(), bytes: 0 };
+    /// The next changes after a revision, at most `max_changes` and at most a page; `None` if they dropped out of the
+    /// history.
+    fn read_changes(
+        &self,
+        sent: u64,
+        max_changes: usize,
+        records: &impl Records<R>,
+    ) -> Option<ChangeBatch<R>> {
+        let mut changes = ChangeBatch { upto: sent, records: Vec::new(), bytes: 0 };
         for (revision, key) in self.history.since(sent).ok()? {
             let record = records.get(key);
             let size = record.as_ref().map_or(0, FeedRecord::size);
-            let is_full = changes.records.len() == most || changes.bytes + size > self.limits.page_bytes;
+            let is_full =
+                changes.records.len() == max_changes || changes.bytes + size > self.limits.page_bytes;
             if is_full && !changes.records.is_empty() {
                 break;
             }
--- a/crates/feed/src/follower.rs
+++ b/crates/feed/src/follower.rs
@@ -1,22 +1,22 @@
-//! A follower's side of the feed.
+//! The follower's side of the feed.
 mod in_flight;
 mod receiving;
 mod returning;
 mod state;
 
 use crate::{
-    Attempt, ChangeOrder, ControlChoice, ControlMessage, FeedRecord, FollowerLimits, FollowerMessage, Ms,
-    Position, Records,
+    ChangeOrder, ConnectDecision, ControlChoice, ControlMessage, FeedRecord, FollowerLimits, FollowerMessage,
+    Ms, Position, Records,
 };
 use in_flight::InFlight;
 use rand::Rng;
-use returning::Return;
+use returning::PlannedReturn;
 
 pub use state::{BatchNumber, ConnectionNumber, FollowerAction, FollowerState, FollowerStatus};
 
-/// What is said once nothing is on its way to disk any more.
+/// A message that is sent once all batches in flight are on disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Owed {
+enum DeferredMessage {
     Nothing,
     Hello,
     Buckets,
@@ -24,7 +24,7 @@
 
 /// Follows the changes of one control node at a time.
 ///
-/// The caller passes on what happens, then carries out [`actions`](Self::actions), and calls [`tick`](Self::tick) once
+/// The caller reports events, then carries out the [`actions`](Self::actions), and calls [`tick`](Self::tick) once
 /// [`next_wakeup`](Self::next_wakeup) is reached.
 #[derive(Debug)]
 pub struct Follower<R, O> {
@@ -35,22 +35,22 @@
     state: FollowerState,
     /// The newest connection.
     connection: ConnectionNumber,
-    /// When the state was entered or the control node was last heard in it.
-    since: Ms,
+    /// Start of the current timeout: when the state was entered or, if later, the last message was received in it.
+    timeout_start: Ms,
     last_heard: Option<Ms>,
-    /// When it goes back to a control node that it prefers.
-    planned_return: Return,
-    owed: Owed,
-    /// What was handed out to be written.
-    taken: Option<Position>,
-    /// What is on disk.
-    kept: Option<Position>,
+    /// When the follower returns to a control node that it prefers.
+    planned_return: PlannedReturn,
+    deferred: DeferredMessage,
+    /// The position of the last batch handed to the caller to be written.
+    submitted_position: Option<Position>,
+    /// The position on disk.
+    persisted_position: Option<Position>,
     in_flight: InFlight<R>,
     actions: Vec<FollowerAction<R>>,
 }
 
 impl<R: FeedRecord, O: ChangeOrder<R>> Follower<R, O> {
-    /// A follower named `node` whose disk holds `position`. It connects with the first [`tick`](Self::tick).
+    /// A follower named `node` that has `position` on disk. It connects with the first [`tick`](Self::tick).
     pub fn new(
         node: &str,
         limits: FollowerLimits,
@@ -65,37 +65,37 @@
             order,
             state: FollowerState::Waiting { until: Ms::MIN },
             connection: ConnectionNumber(0),
-            since: Ms::MIN,
+            timeout_start: Ms::MIN,
             last_heard: None,
-            planned_return: Return::default(),
-            owed: Owed::Nothing,
-            taken: position,
-            kept: position,
+            planned_return: PlannedReturn::default(),
+            deferred: DeferredMessage::Nothing,
+            submitted_position: position,
+            persisted_position: position,
             in_flight: InFlight::new(),
             actions: Vec::new(),
         }
     }
 
-    /// The connection stands.
+    /// Reports that the connection is established.
     pub fn connected(&mut self, connection: ConnectionNumber, records: &impl Records<R>, now: Ms) {
         let FollowerState::Connecting { control } = self.state else { return };
         if connection != self.connection {
             return;
         }
         self.state = FollowerState::Greeting { control };
-        self.since = now;
-        self.owed = Owed::Hello;
-        self.say_owed(records, now);
+        self.timeout_start = now;
+        self.deferred = DeferredMessage::Hello;
+        self.send_deferred(records, now);
     }
 
-    /// The connection broke or was closed, or never came about.
+    /// Reports that the connection broke, was closed, or couldn't be established.
     pub fn disconnected(&mut self, connection: ConnectionNumber, now: Ms, rng: &mut impl Rng) {
         if connection == self.connection {
-            self.fail(now, rng);
+            self.fail_over(now, rng);
         }
     }
 
-    /// The control node has said something. What comes over an older connection is ignored.
+    /// Handles a message from the control node. Messages on an older connection are ignored.
     pub fn message(
         &mut self,
         connection: ConnectionNumber,
@@ -114,101 +114,103 @@
             return;
         }
         self.last_heard = Some(now);
-        self.since = now;
+        self.timeout_start = now;
         if let ControlMessage::Busy { retry_after_ms } = message {
-            self.leave_busy(retry_after_ms as Ms, now, rng);
+            self.handle_busy(retry_after_ms as Ms, now, rng);
             return;
         }
-        if self.receive(message, records, now).is_err() {
-            self.fail(now, rng);
+        if self.handle_message(message, records, now).is_err() {
+            self.fail_over(now, rng);
             return;
         }
         self.plan_return(now, rng);
     }
 
-    /// A batch is on disk, and so are all before it.
+    /// Reports that a batch and all batches before it are on disk.
     pub fn persisted(&mut self, batch: BatchNumber, records: &impl Records<R>, now: Ms) {
         while let Some(written) = self.in_flight.pop_upto(batch) {
-            self.kept = written.position.or(self.kept);
+            self.persisted_position = written.position.or(self.persisted_position);
             self.acknowledge(written.position);
         }
-        self.say_owed(records, now);
+        self.send_deferred(records, now);
     }
 
-    /// The oldest batch that is on its way couldn't be written, and none after it will be.
+    /// Reports that the oldest batch in flight couldn't be written and that none after it will be.
     pub fn persist_failed(&mut self, now: Ms, rng: &mut impl Rng) {
         self.in_flight.clear();
-        self.taken = self.kept;
-        self.fail(now, rng);
+        self.submitted_position = self.persisted_position;
+        self.fail_over(now, rng);
     }
 
-    /// Does what is due: connects, leaves a control node that is silent, and goes back to one that it prefers.
+    /// Performs what is due: connects, disconnects from a control node that timed out, or returns to a preferred one.
     pub fn tick(&mut self, now: Ms, rng: &mut impl Rng) {
         if self.next_wakeup() > now {
             return;
         }
         match self.state {
             FollowerState::Waiting { .. } => self.connect(now),
-            FollowerState::Following { control } if now < self.since + self.limits.silence_ms => {
-                self.go_back(control, now);
+            FollowerState::Following { control } if now < self.timeout_start + self.limits.silence_ms => {
+                self.return_to_preferred(control, now);
             }
-            _ => self.fail(now, rng),
+            _ => self.fail_over(now, rng),
         }
     }
 
-    /// When [`tick`](Self::tick) is to be called at the latest.
+    /// The latest time at which [`tick`](Self::tick) must be called, in milliseconds.
     pub fn next_wakeup(&self) -> Ms {
         match self.state {
             FollowerState::Waiting { until } => until,
-            FollowerState::Connecting { .. } => self.since + self.limits.connect_ms,
-            // The disk is slow, not the control node.
-            FollowerState::Greeting { .. } if self.owed == Owed::Hello => self.since + self.limits.silence_ms,
-            FollowerState::Greeting { .. } => self.since + self.limits.greeting_ms,
-            FollowerState::Comparing { .. } => self.since + self.limits.silence_ms,
+            FollowerState::Connecting { .. } => self.timeout_start + self.limits.connect_ms,
+            // The hello waits for the follower's own disk, so the control node isn't late with its answer.
+            FollowerState::Greeting { .. } if self.deferred == DeferredMessage::Hello => {
+                self.timeout_start + self.limits.silence_ms
+            }
+            FollowerState::Greeting { .. } => self.timeout_start + self.limits.greeting_ms,
+            FollowerState::Comparing { .. } => self.timeout_start + self.limits.silence_ms,
             FollowerState::Following { .. } => {
-                self.planned_return.or_before(self.since + self.limits.silence_ms)
+                self.planned_return.earlier_of(self.timeout_start + self.limits.silence_ms)
             }
         }
     }
 
-    /// Takes what is to be done.
+    /// Takes the pending actions.
     pub fn actions(&mut self) -> Vec<FollowerAction<R>> {
         std::mem::take(&mut self.actions)
     }
 
-    /// How it stands.
+    /// The current state, position and time of the last message.
     pub fn status(&self) -> FollowerStatus {
-        FollowerStatus { state: self.state, position: self.kept, last_heard: self.last_heard }
+        FollowerStatus { state: self.state, position: self.persisted_position, last_heard: self.last_heard }
     }
 
     fn connect(&mut self, now: Ms) {
         match self.choice.next(now) {
-            Attempt::WaitUntil(until) => self.state = FollowerState::Waiting { until },
-            Attempt::Connect(control) => {
+            ConnectDecision::WaitUntil(until) => self.state = FollowerState::Waiting { until },
+            ConnectDecision::Connect(control) => {
                 self.connection.0 += 1;
                 self.state = FollowerState::Connecting { control };
-                self.since = now;
+                self.timeout_start = now;
                 self.actions.push(FollowerAction::Connect { connection: self.connection, control });
             }
         }
     }
 
-    /// Leaves the control node and tries the next one at once, if one may be tried.
-    fn fail(&mut self, now: Ms, rng: &mut impl Rng) {
+    /// Disconnects from the control node and connects to the next one at once, if one may be tried.
+    fn fail_over(&mut self, now: Ms, rng: &mut impl Rng) {
         let Some(control) = self.state.control() else { return };
         self.choice.failed(control, now, rng);
-        self.leave(now);
+        self.disconnect_and_reconnect(now);
     }
 
-    fn leave_busy(&mut self, retry_after: Ms, now: Ms, rng: &mut impl Rng) {
+    fn handle_busy(&mut self, retry_after: Ms, now: Ms, rng: &mut impl Rng) {
         let Some(control) = self.state.control() else { return };
         self.choice.busy(control, retry_after, now, rng);
-        self.leave(now);
+        self.disconnect_and_reconnect(now);
     }
 
-    fn leave(&mut self, now: Ms) {
-        self.planned_return.put_off();
-        self.owed = Owed::Nothing;
+    fn disconnect_and_reconnect(&mut self, now: Ms) {
+        self.planned_return.cancel();
+        self.deferred = DeferredMessage::Nothing;
         self.actions.push(FollowerAction::Disconnect { connection: self.connection });
         self.connect(now);
     }
--- a/crates/feed/src/follower/in_flight.rs
+++ b/crates/feed/src/follower/in_flight.rs
@@ -1,19 +1,19 @@
-//! What a follower has handed out to be written.
+//! The batches that a follower has handed to its caller to be written.
 use super::BatchNumber;
 use crate::{ChangeOrder, FeedRecord, Position, Records};
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
 
-/// A batch on its way to disk.
+/// A batch being written to disk.
 #[derive(Debug)]
 pub(super) struct Batch {
     pub number: BatchNumber,
-    /// The position that it leads to.
+    /// The position that the follower reaches with this batch, if it completes one.
     pub position: Option<Position>,
     keys: Vec<Arc<str>>,
 }
 
-/// The batches on their way to disk, and the records in them: the store may not show these yet.
+/// The batches being written to disk and their records, which the store may not return yet.
 #[derive(Debug)]
 pub(super) struct InFlight<R> {
     batches: VecDeque<Batch>,
@@ -34,10 +34,10 @@
         self.batches.is_empty()
     }
 
-    /// Whether a record replaces both what is held and what is on its way.
-    pub fn admits(&self, record: &R, order: &impl ChangeOrder<R>, held: &impl Records<R>) -> bool {
-        let on_its_way = self.records.get(record.key()).map(|entry| &entry.1);
-        order.supersedes(record, on_its_way) && order.supersedes(record, held.get(record.key()).as_ref())
+    /// Whether a record supersedes both the held record of its key and the one in flight.
+    pub fn is_newer(&self, record: &R, order: &impl ChangeOrder<R>, held: &impl Records<R>) -> bool {
+        let in_flight = self.records.get(record.key()).map(|entry| &entry.1);
+        order.supersedes(record, in_flight) && order.supersedes(record, held.get(record.key()).as_ref())
     }
 
     pub fn push(&mut self, records: &[R], position: Option<Position>) -> BatchNumber {
@@ -51,7 +51,7 @@
         number
     }
 
-    /// Takes the oldest batch, if it is the given one or came before it.
+    /// Removes the oldest batch if its number is at most `number`.
     pub fn pop_upto(&mut self, number: BatchNumber) -> Option<Batch> {
         let batch = self.batches.pop_front_if(|batch| batch.number <= number)?;
         for key in &batch.keys {
--- a/crates/feed/src/follower/receiving.rs
+++ b/crates/feed/src/follower/receiving.rs
@@ -1,107 +1,112 @@
-//! What a follower makes of messages.
-use super::{Follower, FollowerAction, FollowerState, Owed};
+//! Handles messages from the control node.
+use super::{DeferredMessage, Follower, FollowerAction, FollowerState};
 use crate::{ChangeOrder, ControlMessage, FeedRecord, FollowerMessage, Ms, Position, Records};
 
-/// A message that doesn't fit what was said before.
-pub(super) struct Unexpected;
+/// The message violates the protocol in the follower's current state.
+pub(super) struct UnexpectedMessage;
 
 impl<R: FeedRecord, O: ChangeOrder<R>> Follower<R, O> {
-    pub(super) fn receive(
+    pub(super) fn handle_message(
         &mut self,
         message: ControlMessage<R>,
         records: &impl Records<R>,
         now: Ms,
-    ) -> Result<(), Unexpected> {
+    ) -> Result<(), UnexpectedMessage> {
         match message {
             ControlMessage::Changes { after, upto, records: changes } => {
-                self.take_changes(after, upto, changes, records)
+                self.handle_changes(after, upto, changes, records)
             }
-            ControlMessage::SendBuckets => self.begin_comparing(records, now),
-            ControlMessage::Difference { records: page, last } => self.take_page(page, last, records),
-            ControlMessage::Heartbeat { position } => self.answer_heartbeat(position),
-            // Dealt with before.
+            ControlMessage::SendBuckets => self.handle_send_buckets(records, now),
+            ControlMessage::Difference { records: page, last } => self.handle_difference(page, last, records),
+            ControlMessage::Heartbeat { position } => self.handle_heartbeat(position),
+            // Handled by `Follower::message`.
             ControlMessage::Busy { .. } => Ok(()),
         }
     }
 
-    /// Says what was put off until nothing is on its way to disk: so that what it says of its records is true of the disk.
-    pub(super) fn say_owed(&mut self, records: &impl Records<R>, now: Ms) {
+    /// Sends the deferred message once no batch is in flight, so that the position or hashes in it describe what is on disk.
+    pub(super) fn send_deferred(&mut self, records: &impl Records<R>, now: Ms) {
         if !self.in_flight.is_empty() {
             return;
         }
-        match std::mem::replace(&mut self.owed, Owed::Nothing) {
-            Owed::Nothing => {}
-            Owed::Hello => {
-                self.since = now;
-                self.send(FollowerMessage::Hello { node: self.node.clone(), position: self.kept });
+        match std::mem::replace(&mut self.deferred, DeferredMessage::Nothing) {
+            DeferredMessage::Nothing => {}
+            DeferredMessage::Hello => {
+                self.timeout_start = now;
+                self.send(FollowerMessage::Hello {
+                    node: self.node.clone(),
+                    position: self.persisted_position,
+                });
+            }
+            DeferredMessage::Buckets => {
+                self.send(FollowerMessage::Buckets { hashes: records.bucket_hashes() })
             }
-            Owed::Buckets => self.send(FollowerMessage::Buckets { hashes: records.bucket_hashes() }),
         }
     }
 
-    /// Acknowledges a batch that is on disk. One that came over an earlier connection isn't: there is no greeting before
-    /// all of these are on disk.
+    /// Acknowledges a batch that is on disk. Batches from an earlier connection aren't acknowledged: the hello of a new
+    /// connection waits until all of them are on disk.
     pub(super) fn acknowledge(&mut self, position: Option<Position>) {
         match (position, self.state) {
             (Some(_), FollowerState::Following { .. } | FollowerState::Comparing { .. }) => {
-                self.send(FollowerMessage::Applied { position: self.kept });
+                self.send(FollowerMessage::Applied { position: self.persisted_position });
             }
             (None, FollowerState::Comparing { .. }) => self.send(FollowerMessage::NextPage),
             _ => {}
         }
     }
 
-    fn take_changes(
+    fn handle_changes(
         &mut self,
         after: Position,
         upto: u64,
         changes: Vec<R>,
         records: &impl Records<R>,
-    ) -> Result<(), Unexpected> {
-        self.begin_following_at(after)?;
-        if self.taken != Some(after) || upto <= after.revision {
-            return Err(Unexpected);
+    ) -> Result<(), UnexpectedMessage> {
+        self.start_following_at(after)?;
+        if self.submitted_position != Some(after) || upto <= after.revision {
+            return Err(UnexpectedMessage);
         }
         self.persist(changes, Some(after.at(upto)), records)
     }
 
-    /// The control node goes on from the position in the greeting, as its first message about it tells.
-    fn begin_following_at(&mut self, position: Position) -> Result<(), Unexpected> {
+    /// Enters the following state if the control node's first message shows that it resumes at the position in the hello.
+    fn start_following_at(&mut self, position: Position) -> Result<(), UnexpectedMessage> {
         match self.state {
             FollowerState::Following { .. } => Ok(()),
             FollowerState::Greeting { control }
-                if self.owed == Owed::Nothing && self.taken == Some(position) =>
+                if self.deferred == DeferredMessage::Nothing && self.submitted_position == Some(position) =>
             {
                 self.state = FollowerState::Following { control };
                 self.choice.succeeded(control);
                 Ok(())
             }
-            _ => Err(Unexpected),
+            _ => Err(UnexpectedMessage),
         }
     }
 
-    fn begin_comparing(&mut self, records: &impl Records<R>, now: Ms) -> Result<(), Unexpected> {
+    fn handle_send_buckets(&mut self, records: &impl Records<R>, now: Ms) -> Result<(), UnexpectedMessage> {
         let (FollowerState::Greeting { control } | FollowerState::Following { control }) = self.state else {
-            return Err(Unexpected);
+            return Err(UnexpectedMessage);
         };
-        if self.owed != Owed::Nothing {
-            return Err(Unexpected);
+        if self.deferred != DeferredMessage::Nothing {
+            return Err(UnexpectedMessage);
         }
         self.state = FollowerState::Comparing { control };
-        self.owed = Owed::Buckets;
-        self.say_owed(records, now);
+        self.deferred = DeferredMessage::Buckets;
+        self.send_deferred(records, now);
         Ok(())
     }
 
-    fn take_page(
+    fn handle_difference(
         &mut self,
         page: Vec<R>,
         last: Option<Position>,
         records: &impl Records<R>,
-    ) -> Result<(), Unexpected> {
-        let FollowerState::Comparing { control } = self.state else { return Err(Unexpected) };
-        if self.owed != Owed::Nothing {
-            return Err(Unexpected);
+    ) -> Result<(), UnexpectedMessage> {
+        let FollowerState::Comparing { control } = self.state else { return Err(UnexpectedMessage) };
+        if self.deferred != DeferredMessage::Nothing {
+            return Err(UnexpectedMessage);
         }
         if last.is_some() {
             self.state = FollowerState::Following { control };
@@ -110,32 +115,32 @@
         self.persist(page, last, records)
     }
 
-    fn answer_heartbeat(&mut self, position: Position) -> Result<(), Unexpected> {
+    fn handle_heartbeat(&mut self, position: Position) -> Result<(), UnexpectedMessage> {
         match self.state {
             FollowerState::Following { .. } => {
-                // The control node can't be behind what it sent, nor count anew.
-                let taken = self.taken.ok_or(Unexpected)?;
-                taken.behind(position).ok_or(Unexpected)?;
+                // The control node can't be behind the changes that it sent, nor change its incarnation within a connection.
+                let submitted = self.submitted_position.ok_or(UnexpectedMessage)?;
+                submitted.behind(position).ok_or(UnexpectedMessage)?;
             }
-            FollowerState::Greeting { .. } => self.begin_following_at(position)?,
+            FollowerState::Greeting { .. } => self.start_following_at(position)?,
             _ => {}
         }
-        self.send(FollowerMessage::Applied { position: self.kept });
+        self.send(FollowerMessage::Applied { position: self.persisted_position });
         Ok(())
     }
 
-    /// Hands out what supersedes the records held.
+    /// Hands the caller a batch of those records that supersede the held ones.
     fn persist(
         &mut self,
         mut incoming: Vec<R>,
         position: Option<Position>,
         records: &impl Records<R>,
-    ) -> Result<(), Unexpected> {
+    ) -> Result<(), UnexpectedMessage> {
         if self.in_flight.len() >= self.limits.pending_batches {
-            return Err(Unexpected);
+            return Err(UnexpectedMessage);
         }
-        incoming.retain(|record| self.in_flight.admits(record, &self.order, records));
-        self.taken = position.or(self.taken);
+        incoming.retain(|record| self.in_flight.is_newer(record, &self.order, records));
+        self.submitted_position = position.or(self.submitted_position);
         let batch = self.in_flight.push(&incoming, position);
         self.actions.push(FollowerAction::Persist { batch, records: incoming, position });
         Ok(())
--- a/crates/feed/src/follower/returning.rs
+++ b/crates/feed/src/follower/returning.rs
@@ -1,55 +1,55 @@
-//! Going back to the control node that a follower prefers, so that followers spread evenly again after a failure.
+//! Returns a follower to the control node that it prefers, so that followers are distributed evenly again after a failure.
 use super::{Follower, FollowerState};
 use crate::{ChangeOrder, ControlNumber, FeedRecord, Ms};
 use rand::Rng;
 
-/// The longest planned span is so many times the span at random.
-const SPREAD: f64 = 3.0;
-/// Returns in vain after which the span doubles no more.
-const MOST_DOUBLINGS: u32 = 4;
-/// How long a return is put off while something is on its way to disk, in milliseconds.
-const WRITING_MS: Ms = 1_000.0;
+/// A return is planned after a random delay of 1 to this many times the base delay.
+const MAX_DELAY_FACTOR: f64 = 3.0;
+/// Maximum number of times that unsuccessful returns double the base delay.
+const MAX_DOUBLINGS: u32 = 4;
+/// Delay of a return while batches are in flight, in milliseconds.
+const IN_FLIGHT_DELAY_MS: Ms = 1_000.0;
 
-/// When a follower goes back, and how often it has in vain.
+/// When a follower returns to a preferred control node, and how many returns were unsuccessful.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(super) struct Return {
+pub(super) struct PlannedReturn {
     at: Option<Ms>,
-    vain: u32,
+    failed_returns: u32,
 }
 
-impl Return {
-    /// When the return is due, or that time if it comes first.
-    pub fn or_before(&self, other: Ms) -> Ms {
+impl PlannedReturn {
+    /// The earlier of the planned return and another time.
+    pub fn earlier_of(&self, other: Ms) -> Ms {
         self.at.map_or(other, |at| at.min(other))
     }
 
-    /// Nothing is planned until the follower follows again.
-    pub fn put_off(&mut self) {
+    /// Cancels the planned return; a new one is planned once the follower follows again.
+    pub fn cancel(&mut self) {
         self.at = None;
     }
 }
 
 impl<R: FeedRecord, O: ChangeOrder<R>> Follower<R, O> {
-    /// Plans a return where the control node that is followed is not the first choice.
+    /// Plans a return if the control node being followed is not the first choice.
     pub(super) fn plan_return(&mut self, now: Ms, rng: &mut impl Rng) {
         let FollowerState::Following { control } = self.state else { return };
-        if self.choice.is_first(control) {
-            self.planned_return = Return::default();
+        if self.choice.is_first_choice(control) {
+            self.planned_return = PlannedReturn::default();
         } else if self.planned_return.at.is_none() {
-            let span = self.limits.return_ms * 2f64.powi(self.planned_return.vain as i32);
-            self.planned_return.at = Some(now + rng.random_range(span..=SPREAD * span));
+            let delay = self.limits.return_ms * 2f64.powi(self.planned_return.failed_returns as i32);
+            self.planned_return.at = Some(now + rng.random_range(delay..=MAX_DELAY_FACTOR * delay));
         }
     }
 
-    /// Leaves a control node that serves for one that is preferred. Should that one not serve, the back-off leads here
-    /// again, and nothing that was kept is sent once more.
-    pub(super) fn go_back(&mut self, control: ControlNumber, now: Ms) {
+    /// Disconnects from a working control node to try the preferred ones. If none of those serves, the back-off leads back
+    /// to this one, which doesn't resend what is on disk already.
+    pub(super) fn return_to_preferred(&mut self, control: ControlNumber, now: Ms) {
         if !self.in_flight.is_empty() {
-            self.planned_return.at = Some(now + WRITING_MS);
+            self.planned_return.at = Some(now + IN_FLIGHT_DELAY_MS);
             return;
         }
-        self.planned_return.vain = (self.planned_return.vain + 1).min(MOST_DOUBLINGS);
-        self.choice.retry_before(control);
-        self.leave(now);
+        self.planned_return.failed_returns = (self.planned_return.failed_returns + 1).min(MAX_DOUBLINGS);
+        self.choice.clear_backoff_above(control);
+        self.disconnect_and_reconnect(now);
     }
 }
--- a/crates/feed/src/follower/state.rs
+++ b/crates/feed/src/follower/state.rs
@@ -1,15 +1,15 @@
-//! What a follower is about, and what it asks of its caller.
+//! The states of a follower, and the actions that it requests from its caller.
 use crate::{ControlNumber, FollowerMessage, Ms, Position};
 
-/// Tells the connections of a follower apart, failed attempts included.
+/// Identifies a connection of a follower; failed connection attempts are numbered too.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionNumber(pub u64);
 
-/// Counts the batches that a follower has handed out to be written.
+/// The sequence number of a batch that a follower has handed to its caller to be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BatchNumber(pub u64);
 
-/// What the caller is to do, in order.
+/// An action for the caller to carry out, in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FollowerAction<R> {
     /// Connect to a control node, then call [`Follower::connected`](crate::Follower::connected) or
@@ -17,66 +17,66 @@
     Connect {
         /// The new connection.
         connection: ConnectionNumber,
-        /// To which control node.
+        /// The control node to connect to.
         control: ControlNumber,
     },
     /// Send a message.
     Send {
-        /// Over which connection.
+        /// The connection to send it on.
         connection: ConnectionNumber,
-        /// What.
+        /// The message.
         message: FollowerMessage,
     },
-    /// Close a connection, or give up the attempt. Nothing that comes of it counts any more.
+    /// Close a connection or abandon the connection attempt. Later events of this connection are ignored.
     Disconnect {
-        /// Which one.
+        /// The connection to close.
         connection: ConnectionNumber,
     },
-    /// Write records to disk in the place of those under their keys, and the position behind them: not one batch before the
-    /// batches that came earlier. Then call [`Follower::persisted`](crate::Follower::persisted). Until then
-    /// [`Records`](crate::Records) may show either state.
+    /// Write records to disk, replacing those under their keys, and the position after the records; batches must be written
+    /// in order. Then call [`Follower::persisted`](crate::Follower::persisted). Until then [`Records`](crate::Records) may
+    /// return either the old or the new records.
     Persist {
-        /// The batch.
+        /// The number of the batch.
         batch: BatchNumber,
-        /// Its records, each of which supersedes what was held.
+        /// Its records, each of which supersedes the held record of its key.
         records: Vec<R>,
-        /// The position that they lead to, where they lead to one.
+        /// The position that the follower reaches with this batch; `None` if the batch doesn't complete one.
         position: Option<Position>,
     },
 }
 
-/// What a follower is about.
+/// The connection state of a follower.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FollowerState {
-    /// It waits before it tries a control node.
+    /// Waiting before the next connection attempt.
     Waiting {
-        /// Until when.
+        /// When the wait ends, in milliseconds.
         until: Ms,
     },
-    /// It is connecting.
+    /// Connecting to a control node.
     Connecting {
-        /// To whom.
+        /// The control node.
         control: ControlNumber,
     },
-    /// It is connected, and not yet told how to go on.
+    /// Connected, with no answer to the hello yet.
     Greeting {
-        /// To whom.
+        /// The control node.
         control: ControlNumber,
     },
-    /// It compares its records with the control node's.
+    /// Comparing records with the control node, or receiving those that differ.
     Comparing {
-        /// With whom.
+        /// The control node.
         control: ControlNumber,
     },
-    /// It follows the changes of a control node.
+    /// Receiving the change stream of a control node.
     Following {
-        /// Of whom.
+        /// The control node.
         control: ControlNumber,
     },
 }
 
 impl FollowerState {
-    /// The control node that it has to do with.
+    /// The control node that the follower is connecting or connected to, if any.
     pub fn control(&self) -> Option<ControlNumber> {
         match *self {
             FollowerState::Waiting { .. } => None,
@@ -88,13 +88,13 @@
     }
 }
 
-/// What a follower tells of itself.
+/// The status of a follower.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FollowerStatus {
-    /// What it is about.
+    /// The connection state.
     pub state: FollowerState,
-    /// What it holds on disk.
+    /// The position on disk.
     pub position: Option<Position>,
-    /// When its control node was last heard; nothing before the first word of the first one.
+    /// When the last message from a control node was received, in milliseconds; `None` before the first one.
     pub last_heard: Option<Ms>,
 }
--- a/crates/feed/src/lib.rs
+++ b/crates/feed/src/lib.rs
@@ -1,16 +1,17 @@
-//! A change feed: many followers hold the records of a few control nodes and learn of changes within seconds.
+//! A change feed: replicates the records of a few control nodes to many followers, which receive changes within seconds.
 //!
-//! Everything here decides without I/O, without a clock and without threads: points in time, random numbers, messages
-//! and reads of records come in, messages and other actions go out.
+//! Both sides are state machines without I/O, clock or threads: the caller passes in the time, random numbers, messages
+//! and read access to records, and carries out the actions that come back.
 //!
-//! - [`Feed`] is a control node's side. It numbers the changes of its store ([`Position`]), remembers the latest of them
-//!   ([`ChangeHistory`]), and sends each follower what it lacks.
-//! - [`Follower`] is the other side. It follows one control node at a time, which [`ControlChoice`] picks.
-//! - [`BucketIndex`] summarises records in 256 hashes, so that two nodes find what differs without listing their keys.
-//! - [`ChangeOrder`] tells which of two records of a key stands. Records only move forward in it: nothing that a stale
-//!   control node sends takes a newer record back.
+//! - [`Feed`] is the control node's side. It numbers the changes of its store ([`Position`]), keeps the latest of them
+//!   ([`ChangeHistory`]), and sends each follower the records that it is missing.
+//! - [`Follower`] is the follower's side. It follows one control node at a time, selected by [`ControlChoice`].
+//! - [`BucketIndex`] summarises records in 256 hashes, so that two nodes can find differences without listing their keys.
+//! - [`ChangeOrder`] decides which of two records of a key is current. A record is only ever replaced by a newer one, so a
+//!   stale control node can't overwrite it with an older one.
 //!
-//! A follower acknowledges a position only after its records are on disk, and writes the position after the records.
+//! A follower acknowledges a position only once the records up to it are on disk, and writes the position after the
+//! records.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -31,7 +32,7 @@
 mod token_bucket;
 
 pub use buckets::{BadBucketHashes, BucketHashes, BucketIndex, BucketNumber, BucketSet, BUCKETS};
-pub use choice::{Attempt, ControlChoice, ControlNode, ControlNumber, NoControlNodes};
+pub use choice::{ConnectDecision, ControlChoice, ControlNode, ControlNumber, NoControlNodes};
 pub use feed::{CloseReason, Feed, FeedAction, SessionNumber};
 pub use follower::{BatchNumber, ConnectionNumber, Follower, FollowerAction, FollowerState, FollowerStatus};
 pub use hash::stable_hash;
@@ -44,5 +45,5 @@
 pub use report::{FeedCounters, FollowerLag, FollowerStage};
 pub use token_bucket::TokenBucket;
 
-/// Milliseconds: points in time on any one clock that doesn't run backwards, and spans.
+/// A point in time on a monotonic clock, or a duration, in milliseconds.
 pub type Ms = f64;
--- a/crates/feed/src/limits.rs
+++ b/crates/feed/src/limits.rs
@@ -1,32 +1,34 @@
-//! What the two sides are bounded by. Spans are in milliseconds, sizes in bytes.
+//! Limits and timeouts of both sides. Durations are in milliseconds, sizes in bytes.
 use crate::Ms;
 
-/// The bounds of a control node's side.
+/// The limits of the control node's side.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FeedLimits {
-    /// Connections at a time.
+    /// Maximum number of concurrent connections.
     pub followers: usize,
-    /// Copies of more than one page at a time.
+    /// Maximum number of concurrent copies, that is differences of more than one page.
     pub full_copies: usize,
-    /// Followers that may wait for such a copy; others are told to come again.
+    /// Maximum number of followers that wait for such a copy; others are told to reconnect later.
     pub waiting_copies: usize,
-    /// Bytes a second that differences take, over all followers.
+    /// Rate limit for differences, in bytes per second over all followers.
     pub bytes_per_s: f64,
-    /// Changes that are remembered.
+    /// Maximum number of changed keys in the history.
     pub history: usize,
-    /// Changes that one follower may have been sent without having acknowledged them.
+    /// Maximum number of unacknowledged changes per follower.
     pub window: usize,
-    /// Bytes of such changes; a single larger record may pass it.
+    /// No more changes are sent to a follower while its unacknowledged changes are at least this many bytes; the last
+    /// message sent may exceed it.
     pub window_bytes: usize,
-    /// Bytes of records in one message; a single larger record may pass it.
+    /// Maximum bytes of records in one message; a single larger record may exceed it.
     pub page_bytes: usize,
-    /// After so long without another message a follower is sent a heartbeat.
+    /// A follower is sent a heartbeat after this time without another message to it, in milliseconds.
     pub heartbeat_ms: Ms,
-    /// After so long without a word of its follower a connection is closed.
+    /// A connection is closed after this time without a message from its follower, in milliseconds.
     pub silence_ms: Ms,
-    /// After so long without a confirmation of a page a follower loses its place among the copies, and its connection.
+    /// A follower with a copy slot that doesn't confirm a page for this time loses the slot and its connection, in
+    /// milliseconds.
     pub stall_ms: Ms,
-    /// When a follower without a place may come again.
+    /// Minimum delay before a rejected follower reconnects, in milliseconds.
     pub retry_after_ms: Ms,
 }
 
@@ -49,19 +51,19 @@
     }
 }
 
-/// The bounds of a follower's side.
+/// The limits of the follower's side.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FollowerLimits {
-    /// After so long without an outcome an attempt to connect is given up.
+    /// Timeout of a connection attempt, in milliseconds.
     pub connect_ms: Ms,
-    /// After so long without an answer to its greeting a follower tries another control node.
+    /// A follower tries another control node after this time without an answer to its hello, in milliseconds.
     pub greeting_ms: Ms,
-    /// After so long without a word of its control node a follower tries another.
+    /// A follower tries another control node after this time without a message from the current one, in milliseconds.
     pub silence_ms: Ms,
-    /// Batches that may be on their way to disk; a control node that sends more is left.
+    /// Maximum number of batches being written to disk; the follower disconnects from a control node that sends more.
     pub pending_batches: usize,
-    /// A follower of another control node than its first choice tries the better ones again after one to three times so
-    /// long, at random; each try that was in vain doubles the span.
+    /// A follower of a control node other than its first choice tries the preferred ones again after a random delay of one
+    /// to three times this value, in milliseconds; each unsuccessful try doubles the delay.
     pub return_ms: Ms,
 }
 
--- a/crates/feed/src/messages.rs
+++ b/crates/feed/src/messages.rs
@@ -1,62 +1,62 @@
-//! What followers and control nodes say to each other. A connection keeps messages in order.
+//! Messages between followers and control nodes. A connection delivers messages in order.
 use crate::{BucketHashes, Position};
 use serde::{Deserialize, Serialize};
 
-/// From a follower to its control node.
+/// A message from a follower to its control node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FollowerMessage {
     /// The first message of a connection.
     Hello {
-        /// The follower's name. A new connection under a name takes the place of the older one.
+        /// The follower's name. A new connection under the same name replaces the older one.
         node: String,
-        /// What it holds on disk; nothing where it never followed.
+        /// The follower's position on disk; `None` if it has never followed a control node.
         position: Option<Position>,
     },
     /// The answer to [`ControlMessage::SendBuckets`].
     Buckets {
-        /// The hashes of what it holds.
+        /// The hashes of the follower's records.
         hashes: BucketHashes,
     },
-    /// The page of a difference is on disk; the next may come.
+    /// The last page of a difference is on disk; requests the next one.
     NextPage,
-    /// What it holds on disk by now; also the answer to a heartbeat.
+    /// Acknowledges the position on disk; also the answer to a heartbeat.
     Applied {
-        /// Everything up to this position is on disk.
+        /// Everything up to this position is on disk; `None` if the follower has no position yet.
         position: Option<Position>,
     },
 }
 
-/// From a control node to a follower.
+/// A message from a control node to a follower.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ControlMessage<R> {
-    /// The changes behind a position.
+    /// The changes after a position.
     Changes {
-        /// The position that the follower must have for them to make sense.
+        /// The position that the follower must have before it applies these changes.
         after: Position,
-        /// The revision that it has afterwards.
+        /// The revision that the follower reaches by applying them.
         upto: u64,
-        /// The records as they stand now: where a key changed more than once it comes once.
+        /// The current records of the changed keys; a key that changed more than once is sent once.
         records: Vec<R>,
     },
-    /// The stream can't go on from the follower's position; it is to send the hashes of its buckets.
+    /// The change stream can't resume at the follower's position; requests the follower's bucket hashes.
     SendBuckets,
-    /// A page of the records in buckets that differ.
+    /// A page of the records in the buckets that differ.
     Difference {
-        /// The records.
+        /// The records of this page.
         records: Vec<R>,
-        /// In the last page, the position that the follower has afterwards.
+        /// The position that the follower reaches with the last page; `None` on earlier pages.
         last: Option<Position>,
     },
-    /// Nothing else was sent for a while.
+    /// Sent when no other message was sent for [`FeedLimits::heartbeat_ms`](crate::FeedLimits::heartbeat_ms).
     Heartbeat {
-        /// The position of the control node.
+        /// The control node's current position.
         position: Position,
     },
-    /// There is no place for the follower now; the connection ends.
+    /// The control node has no capacity for the follower now; the connection is closed.
     Busy {
-        /// After how many milliseconds to come again at the earliest.
+        /// Minimum delay before the follower reconnects, in milliseconds.
         retry_after_ms: u64,
     },
 }
--- a/crates/feed/src/order.rs
+++ b/crates/feed/src/order.rs
@@ -1,18 +1,18 @@
-//! Which of two records of a key stands.
+//! Decides which of two records of a key is current.
 use crate::FeedRecord;
 use std::cmp::Ordering;
 
-/// What fixes the order of changes. The feed itself knows none: it asks here.
+/// The order of changes, supplied by the user of this crate.
 pub trait ChangeOrder<R> {
-    /// Whether an incoming record replaces what is held under its key. It must never hold of a record against itself, nor
-    /// of two records both ways.
+    /// Whether an incoming record replaces the record held under its key. The relation must be irreflexive and asymmetric:
+    /// no record supersedes itself, and no two records supersede each other.
     fn supersedes(&self, incoming: &R, held: Option<&R>) -> bool;
 
-    /// The version that the next change of a key gets.
+    /// The version of the next change to a key, given the record held under it.
     fn next_version(&self, held: Option<&R>) -> u64;
 }
 
-/// The greater record stands, by [`FeedRecord::order`]; versions count up from 1.
+/// The greater record by [`FeedRecord::order`] is current; versions count up from 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct GreaterRecord;
 
--- a/crates/feed/src/position.rs
+++ b/crates/feed/src/position.rs
@@ -1,28 +1,28 @@
-//! How far a follower has come in the changes of one control node.
+//! A follower's progress through the changes of one control node.
 use rand::Rng;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::str::FromStr;
 
-/// A point in the sequence of changes that one process of a control node took in.
+/// A point in the sequence of changes that one process of a control node has accepted.
 ///
-/// Positions of different incarnations can't be compared: they count other changes. As text, and so in messages, it is
-/// the incarnation in 16 hexadecimal digits, a colon, and the revision.
+/// Positions of different incarnations can't be compared, as they count different changes. As text, and so in messages:
+/// the incarnation in 16 hexadecimal digits, a colon, and the revision in decimal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(into = "String", try_from = "String")]
 pub struct Position {
-    /// A random number that a control node draws when it starts.
+    /// A random number that a control node generates when it starts.
     pub incarnation: u64,
-    /// The number of changes that its store took in since then.
+    /// The number of changes that its store has accepted since then.
     pub revision: u64,
 }
 
-/// A text that is no position.
+/// The text can't be parsed as a [`Position`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("not a position: expected 16 hexadecimal digits, a colon and a number")]
+#[error("invalid position: expected 16 hexadecimal digits, a colon and a number")]
 pub struct BadPosition;
 
-/// Length of an incarnation as text.
+/// Length of an incarnation as text, in hexadecimal digits.
 const INCARNATION_DIGITS: usize = 16;
 
 impl Position {
@@ -31,13 +31,12 @@
         Position { incarnation: rng.random(), revision: 0 }
     }
 
-    /// The position of a revision of the same incarnation.
+    /// The position at a revision of the same incarnation.
     pub fn at(self, revision: u64) -> Self {
         Position { revision, ..self }
     }
 
-    /// How many changes this position is behind another, or nothing where it is ahead of it or the two are of different
-    /// incarnations.
+    /// How many changes this position is behind `other`; `None` if it is ahead of `other` or the incarnations differ.
     pub fn behind(self, other: Position) -> Option<u64> {
         if self.incarnation != other.incarnation {
             return None;
--- a/crates/feed/src/records.rs
+++ b/crates/feed/src/records.rs
@@ -1,53 +1,53 @@
-//! What the feed must know of records, and how it reads them.
+//! The interface through which the feed reads records.
 use crate::{BucketHashes, BucketNumber, BucketSet};
 use std::cmp::Ordering;
 use std::sync::Arc;
 
-/// One version of what stands under a key. A deletion is a record too, and stays.
+/// One version of the record of a key. A deletion is a record too, and is kept.
 pub trait FeedRecord: Clone {
-    /// Where it stands.
+    /// The key of the record.
     fn key(&self) -> &Arc<str>;
 
-    /// A hash of the key and of all that tells this version from others, the same on every node
+    /// A hash of the key and of everything that distinguishes this version from others, the same on every node
     /// (see [`stable_hash`](crate::stable_hash)).
     fn hash(&self) -> u64;
 
-    /// About how many bytes it takes in a message.
+    /// Approximate size in a message, in bytes.
     fn size(&self) -> usize;
 
-    /// Counts the versions of the key.
+    /// The version number, counted per key.
     fn version(&self) -> u64;
 
     /// The total order of the versions of one key.
     fn order(&self, other: &Self) -> Ordering;
 }
 
-/// The records of a node that take part in the feed.
+/// Read access to the records of a node that take part in the feed.
 pub trait Records<R> {
-    /// What stands under a key.
+    /// The current record of a key.
     fn get(&self, key: &str) -> Option<R>;
 
     /// The hashes of all records, as a [`BucketIndex`](crate::BucketIndex) keeps them.
     fn bucket_hashes(&self) -> BucketHashes;
 
-    /// The records of these buckets in the order of their keys, from behind the key `after`: at least one where there is
-    /// one, and no more than `most_bytes` of them otherwise. [`Page::fill`] does it from records in order.
-    fn page(&self, buckets: &BucketSet, after: Option<&str>, most_bytes: usize) -> Page<R>;
+    /// A page of the records in `buckets` whose keys come after the key `after`, in key order: at least one record if there
+    /// is one, and otherwise at most `max_bytes` of them. [`Page::fill`] builds such a page from records in key order.
+    fn page(&self, buckets: &BucketSet, after: Option<&str>, max_bytes: usize) -> Page<R>;
 }
 
-/// Some records in the order of their keys.
+/// A run of records in key order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Page<R> {
-    /// The records.
+    /// The records in key order.
     pub records: Vec<R>,
-    /// Whether there are no more behind them.
+    /// Whether no records follow this page.
     pub is_last: bool,
 }
 
 impl<R: FeedRecord> Page<R> {
-    /// A page of those records that are in the buckets. `records` come in the order of their keys and begin where the page
-    /// is to begin. The size of a page is at most `most_bytes` unless its only record is larger.
-    pub fn fill<'a>(records: impl Iterator<Item = &'a R>, buckets: &BucketSet, most_bytes: usize) -> Self
+    /// Builds a page from those `records` that are in `buckets`. `records` must be in key order and start where the page
+    /// starts. The page holds at most `max_bytes`, unless its only record is larger.
+    pub fn fill<'a>(records: impl Iterator<Item = &'a R>, buckets: &BucketSet, max_bytes: usize) -> Self
     where
         R: 'a,
     {
@@ -58,7 +58,7 @@
                 continue;
             }
             bytes += record.size();
-            if bytes > most_bytes && !page.records.is_empty() {
+            if bytes > max_bytes && !page.records.is_empty() {
                 page.is_last = false;
                 break;
             }
@@ -67,7 +67,7 @@
         page
     }
 
-    /// The size of its records, in bytes.
+    /// The total size of the records, in bytes.
     pub fn size(&self) -> usize {
         self.records.iter().map(FeedRecord::size).sum()
     }
--- a/crates/feed/src/report.rs
+++ b/crates/feed/src/report.rs
@@ -1,53 +1,54 @@
-//! What a control node knows of its followers.
+//! A control node's report on its followers.
 use crate::{Ms, Position};
 
-/// Where a control node is with a follower.
+/// The stage of a follower's connection, as the control node sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FollowerStage {
-    /// It hasn't said who it is.
+    /// The follower hasn't sent [`FollowerMessage::Hello`](crate::FollowerMessage::Hello) yet.
     Greeting,
-    /// Its buckets are being compared, or it waits for a copy.
+    /// The follower's buckets are being compared, or it waits for a page or for a free copy slot.
     Comparing,
-    /// It is being sent the records that differ.
+    /// The follower is being sent the records that differ.
     Copying,
-    /// It is sent changes as they come.
+    /// The follower is sent changes as they occur.
     Following,
 }
 
-/// How far a connected follower is behind.
+/// How far a connected follower lags behind the control node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FollowerLag {
-    /// Its name.
+    /// The follower's name.
     pub node: String,
-    /// Where the control node is with it.
+    /// The stage of its connection.
     pub stage: FollowerStage,
-    /// What it holds on disk, in the control node's numbering; nothing where it hasn't caught up since it connected.
+    /// The position that the follower acknowledged as on disk, in this control node's incarnation; `None` until it has
+    /// caught up once since it connected.
     pub applied: Option<Position>,
-    /// Changes that it has not acknowledged; all of them where `applied` is nothing.
+    /// Number of changes that the follower hasn't acknowledged; all of them if `applied` is `None`.
     pub behind: u64,
-    /// For how many milliseconds it hasn't been up to date.
+    /// For how long the follower hasn't been up to date, in milliseconds; 0 if it is.
     pub behind_ms: Ms,
-    /// How many milliseconds ago it was last heard.
+    /// Time since the last message from the follower, in milliseconds.
     pub silent_ms: Ms,
 }
 
-/// What a feed has done since it started.
+/// Counters of a feed since it started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FeedCounters {
-    /// Followers whose stream went on from their position.
+    /// Connections whose change stream resumed at the follower's position.
     pub resumes: u64,
-    /// Followers whose buckets were asked for.
+    /// Requests for a follower's bucket hashes.
     pub comparisons: u64,
-    /// Comparisons that came to their end.
+    /// Differences that were sent completely.
     pub differences: u64,
-    /// Copies of more than one page that were begun.
+    /// Copies that were started, that is differences of more than one page.
     pub copies: u64,
-    /// Bytes of records in differences.
+    /// Bytes of records sent in differences.
     pub difference_bytes: u64,
-    /// Changes sent, counted once for each follower.
+    /// Changes sent, counted once per follower.
     pub changes: u64,
-    /// Followers turned away.
+    /// Followers rejected with [`ControlMessage::Busy`](crate::ControlMessage::Busy).
     pub busy: u64,
-    /// Followers whose position was forgotten while they were connected.
+    /// Connected followers whose position dropped out of the history.
     pub compacted: u64,
 }
--- a/crates/feed/src/token_bucket.rs
+++ b/crates/feed/src/token_bucket.rs
@@ -1,42 +1,42 @@
-//! A bound on bytes a second.
+//! A rate limit in bytes per second.
 use crate::Ms;
 
 const MS_PER_S: f64 = 1000.0;
 
-/// Lets bytes pass at a mean rate. It holds tokens for at most a second, and may go into debt by one page, so that over any
-/// span no more passes than the rate times the span, plus a second's worth, plus a page.
+/// A token bucket that limits bytes to a mean rate. It holds at most one second's worth of tokens and may go into debt by
+/// one page, so over any period it passes at most the rate times the period, plus one second's worth, plus one page.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
     bytes_per_s: f64,
     tokens: f64,
-    filled: Ms,
+    refilled_at: Ms,
 }
 
 impl TokenBucket {
-    /// A full one.
+    /// A full bucket.
     pub fn new(bytes_per_s: f64, now: Ms) -> Self {
-        TokenBucket { bytes_per_s, tokens: bytes_per_s, filled: now }
+        TokenBucket { bytes_per_s, tokens: bytes_per_s, refilled_at: now }
     }
 
-    /// Whether something may pass now.
-    pub fn is_open(&mut self, now: Ms) -> bool {
-        let gained = (now - self.filled).max(0.0) * self.bytes_per_s / MS_PER_S;
+    /// Refills the bucket and returns whether bytes may be sent now.
+    pub fn may_send(&mut self, now: Ms) -> bool {
+        let gained = (now - self.refilled_at).max(0.0) * self.bytes_per_s / MS_PER_S;
         self.tokens = (self.tokens + gained).min(self.bytes_per_s);
-        self.filled = self.filled.max(now);
+        self.refilled_at = self.refilled_at.max(now);
         self.tokens > 0.0
     }
 
-    /// Takes what passed.
-    pub fn take(&mut self, bytes: usize) {
+    /// Deducts bytes that were sent.
+    pub fn consume(&mut self, bytes: usize) {
         self.tokens -= bytes as f64;
     }
 
-    /// When something may pass again, if not now.
-    pub fn opens_at(&self) -> Ms {
+    /// The earliest time, in milliseconds, at which bytes may be sent.
+    pub fn available_at(&self) -> Ms {
         if self.tokens > 0.0 {
-            return self.filled;
+            return self.refilled_at;
         }
-        // A little later than the debt is paid, so that it is open then whatever the rounding.
-        self.filled + (1.0 - self.tokens) * MS_PER_S / self.bytes_per_s
+        // Waits for one token more than the debt, so that rounding can't leave the bucket empty at that time.
+        self.refilled_at + (1.0 - self.tokens) * MS_PER_S / self.bytes_per_s
     }
 }
--- a/crates/feed/tests/support/world/checks.rs
+++ b/crates/feed/tests/support/world/checks.rs
@@ -35,7 +35,7 @@
         let is_stray = |(number, follower): &(usize, &FollowerNode)| {
             let first = self.choice(*number);
             let state = follower.machine.status().state;
-            !matches!(state, FollowerState::Following { control } if first.is_first(control))
+            !matches!(state, FollowerState::Following { control } if first.is_first_choice(control))
         };
         self.followers.iter().enumerate().filter(is_stray).count()
     }
--- a/crates/feed/tests/units/choice.rs
+++ b/crates/feed/tests/units/choice.rs
@@ -1,4 +1,4 @@
-use corkbay_feed::{Attempt, ControlChoice, ControlNode, ControlNumber, Ms, NoControlNodes};
+use corkbay_feed::{ConnectDecision, ControlChoice, ControlNode, ControlNumber, Ms, NoControlNodes};
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
 
@@ -23,8 +23,8 @@
 
 fn connect(choice: &ControlChoice, now: Ms) -> ControlNumber {
     match choice.next(now) {
-        Attempt::Connect(control) => control,
-        Attempt::WaitUntil(until) => panic!("waits until {until}"),
+        ConnectDecision::Connect(control) => control,
+        ConnectDecision::WaitUntil(until) => panic!("waits until {until}"),
     }
 }
 
@@ -77,8 +77,8 @@
     let (mut rng, mut now) = (rng(), 0.0);
     for _ in 0..300 {
         match choice.next(now) {
-            Attempt::Connect(control) => choice.failed(control, now, &mut rng),
-            Attempt::WaitUntil(until) => {
+            ConnectDecision::Connect(control) => choice.failed(control, now, &mut rng),
+            ConnectDecision::WaitUntil(until) => {
                 assert!(until > now && until <= now + 2_000.0, "from {now} to {until}");
                 now = until;
             }
@@ -90,7 +90,7 @@
 fn a_busy_one_is_left_alone_for_as_long_as_it_asked() {
     let mut choice = choice(1, "a", &["a"]);
     choice.busy(ControlNumber(0), 1_000.0, 0.0, &mut rng());
-    let Attempt::WaitUntil(until) = choice.next(0.0) else { panic!("connects at once") };
+    let ConnectDecision::WaitUntil(until) = choice.next(0.0) else { panic!("connects at once") };
     assert!((1_000.0..=2_000.0).contains(&until), "{until}");
-    assert_eq!(choice.next(until), Attempt::Connect(ControlNumber(0)));
+    assert_eq!(choice.next(until), ConnectDecision::Connect(ControlNumber(0)));
 }
--- a/crates/feed/tests/units/history.rs
+++ b/crates/feed/tests/units/history.rs
@@ -24,7 +24,7 @@
         let log: Vec<Arc<str>> = keys.iter().map(|key| key.to_string().into()).collect();
         let mut history = ChangeHistory::new(capacity);
         for (index, key) in log.iter().enumerate() {
-            prop_assert_eq!(history.push(key), index as u64 + 1);
+            prop_assert_eq!(history.record_change(key), index as u64 + 1);
         }
         let all = naive_since(&log, 0);
         for revision in 0..=log.len() as u64 {
@@ -32,7 +32,7 @@
             let told = history.since(revision).map(|changes| {
                 changes.map(|(at, key)| (at, key.clone())).collect::<Vec<_>>()
             });
-            prop_assert_eq!(history.reaches(revision), told.is_ok());
+            prop_assert_eq!(history.covers(revision), told.is_ok());
             match told {
                 Ok(changes) => prop_assert_eq!(changes, expected),
                 // It forgets no more than it must.
