--- a/crates/feed/src/choice.rs
+++ b/crates/feed/src/choice.rs
@@ -46,8 +46,8 @@
 }
 
 /// Ranks control nodes for one follower: those of its own zone first, then by a hash over the follower's name and the
-/// control node's address (rendezvous hashing). Followers are thus distributed evenly, and when a control node fails, its
-/// followers are distributed evenly over the others.
+/// control node's address (rendezvous hashing). Followers are thus distributed evenly, and when a control node fails,
+/// its followers are distributed evenly over the others.
 #[derive(Clone, Debug)]
 pub struct ControlChoice {
     /// The best first.
@@ -95,8 +95,8 @@
         self.cap_wait(now, rng);
     }
 
-    /// Reports that a control node was busy. It isn't tried again for `retry_after` milliseconds plus a random delay of up
-    /// to as long again, so that followers don't all reconnect at once.
+    /// Reports that a control node was busy. It isn't tried again for `retry_after` milliseconds plus a random delay of
+    /// up to as long again, so that followers don't all reconnect at once.
     pub fn busy(&mut self, number: ControlNumber, retry_after: Ms, now: Ms, rng: &mut impl Rng) {
         let Some(candidate) = self.candidate(number) else { return };
         let span = retry_after.clamp(INITIAL_BACKOFF_MS, MAX_BACKOFF_MS);
--- a/crates/feed/src/feed.rs
+++ b/crates/feed/src/feed.rs
@@ -95,8 +95,8 @@
         self.start.at(self.history.revision())
     }
 
-    /// Reports that the record of a key changed, whatever the source of the change. [`Records`] must return the new record
-    /// already. The change is sent with the next [`tick`](Self::tick).
+    /// Reports that the record of a key changed, whatever the source of the change. [`Records`] must return the new
+    /// record already. The change is sent with the next [`tick`](Self::tick).
     pub fn changed(&mut self, key: &Arc<str>, now: Ms) -> Position {
         let revision = self.history.record_change(key);
         self.bucket_changed[usize::from(BucketNumber::of(key).0)] = revision;
@@ -141,7 +141,8 @@
         self.send_pages(records, now);
     }
 
-    /// Performs what is due: sends changes, pages and heartbeats, and closes the connections of followers that timed out.
+    /// Performs what is due: sends changes, pages and heartbeats, and closes the connections of followers that timed
+    /// out.
     pub fn tick(&mut self, records: &impl Records<R>, now: Ms) {
         self.close_timed_out(now);
         if std::mem::take(&mut self.has_unsent_changes) {
--- a/crates/feed/src/feed/copying.rs
+++ b/crates/feed/src/feed/copying.rs
@@ -114,8 +114,8 @@
         self.send(number, ControlMessage::Difference { records: page.records, last }, now);
     }
 
-    /// Returns whether the change stream can resume after the last page. If not, changes since the comparison have dropped
-    /// out of the history, and another round starts with the buckets that have changed since then.
+    /// Returns whether the change stream can resume after the last page. If not, changes since the comparison have
+    /// dropped out of the history, and another round starts with the buckets that have changed since then.
     fn finish_round(&mut self, number: SessionNumber) -> bool {
         let Some(session) = self.sessions.get_mut(&number) else { return false };
         let Stage::Copying(copying) = &mut session.stage else { return false };
--- a/crates/feed/src/follower/receiving.rs
+++ b/crates/feed/src/follower/receiving.rs
@@ -24,7 +24,8 @@
         }
     }
 
-    /// Sends the deferred message once no batch is in flight, so that the position or hashes in it describe what is on disk.
+    /// Sends the deferred message once no batch is in flight, so that the position or hashes in it describe what is on
+    /// disk.
     pub(super) fn send_deferred(&mut self, records: &impl Records<R>, now: Ms) {
         if !self.in_flight.is_empty() {
             return;
@@ -70,7 +71,8 @@
         self.persist(changes, Some(after.at(upto)), records)
     }
 
-    /// Enters the following state if the control node's first message shows that it resumes at the position in the hello.
+    /// Enters the following state if the control node's first message shows that it resumes at the position in the
+    /// hello.
     fn start_following_at(&mut self, position: Position) -> Result<(), UnexpectedMessage> {
         match self.state {
             FollowerState::Following { .. } => Ok(()),
@@ -118,7 +120,8 @@
     fn handle_heartbeat(&mut self, position: Position) -> Result<(), UnexpectedMessage> {
         match self.state {
             FollowerState::Following { .. } => {
-                // The control node can't be behind the changes that it sent, nor change its incarnation within a connection.
+                // The control node can't be behind the changes that it sent, nor change its incarnation within a
+                // connection.
                 let submitted = self.submitted_position.ok_or(UnexpectedMessage)?;
                 submitted.behind(position).ok_or(UnexpectedMessage)?;
             }
--- a/crates/feed/src/follower/returning.rs
+++ b/crates/feed/src/follower/returning.rs
@@ -1,4 +1,5 @@
-//! Returns a follower to the control node that it prefers, so that followers are distributed evenly again after a failure.
+//! Returns a follower to the control node that it prefers, so that followers are distributed evenly again after a
+//! failure.
 use super::{Follower, FollowerState};
 use crate::{ChangeOrder, ControlNumber, FeedRecord, Ms};
 use rand::Rng;
@@ -41,8 +42,8 @@
         }
     }
 
-    /// Disconnects from a working control node to try the preferred ones. If none of those serves, the back-off leads back
-    /// to this one, which doesn't resend what is on disk already.
+    /// Disconnects from a working control node to try the preferred ones. If none of those serves, the back-off leads
+    /// back to this one, which doesn't resend what is on disk already.
     pub(super) fn return_to_preferred(&mut self, control: ControlNumber, now: Ms) {
         if !self.in_flight.is_empty() {
             self.planned_return.at = Some(now + IN_FLIGHT_DELAY_MS);
--- a/crates/feed/src/follower/state.rs
+++ b/crates/feed/src/follower/state.rs
@@ -32,9 +32,9 @@
         /// The connection to close.
         connection: ConnectionNumber,
     },
-    /// Write records to disk, replacing those under their keys, and the position after the records; batches must be written
-    /// in order. Then call [`Follower::persisted`](crate::Follower::persisted). Until then [`Records`](crate::Records) may
-    /// return either the old or the new records.
+    /// Write records to disk, replacing those under their keys, and the position after the records; batches must be
+    /// written in order. Then call [`Follower::persisted`](crate::Follower::persisted). Until then
+    /// [`Records`](crate::Records) may return either the old or the new records.
     Persist {
         /// The number of the batch.
         batch: BatchNumber,
--- a/crates/feed/src/lib.rs
+++ b/crates/feed/src/lib.rs
@@ -1,4 +1,5 @@
-//! A change feed: replicates the records of a few control nodes to many followers, which receive changes within seconds.
+//! A change feed: replicates the records of a few control nodes to many followers, which receive changes within
+//! seconds.
 //!
 //! Both sides are state machines without I/O, clock or threads: the caller passes in the time, random numbers, messages
 //! and read access to records, and carries out the actions that come back.
@@ -6,9 +7,10 @@
 //! - [`Feed`] is the control node's side. It numbers the changes of its store ([`Position`]), keeps the latest of them
 //!   ([`ChangeHistory`]), and sends each follower the records that it is missing.
 //! - [`Follower`] is the follower's side. It follows one control node at a time, selected by [`ControlChoice`].
-//! - [`BucketIndex`] summarises records in 256 hashes, so that two nodes can find differences without listing their keys.
-//! - [`ChangeOrder`] decides which of two records of a key is current. A record is only ever replaced by a newer one, so a
-//!   stale control node can't overwrite it with an older one.
+//! - [`BucketIndex`] summarises records in 256 hashes, so that two nodes can find differences without listing their
+//!   keys.
+//! - [`ChangeOrder`] decides which of two records of a key is current. A record is only ever replaced by a newer one,
+//!   so a stale control node can't overwrite it with an older one.
 //!
 //! A follower acknowledges a position only once the records up to it are on disk, and writes the position after the
 //! records.
--- a/crates/feed/src/limits.rs
+++ b/crates/feed/src/limits.rs
@@ -62,8 +62,8 @@
     pub silence_ms: Ms,
     /// Maximum number of batches being written to disk; the follower disconnects from a control node that sends more.
     pub pending_batches: usize,
-    /// A follower of a control node other than its first choice tries the preferred ones again after a random delay of one
-    /// to three times this value, in milliseconds; each unsuccessful try doubles the delay.
+    /// A follower of a control node other than its first choice tries the preferred ones again after a random delay of
+    /// one to three times this value, in milliseconds; each unsuccessful try doubles the delay.
     pub return_ms: Ms,
 }
 
--- a/crates/feed/src/order.rs
+++ b/crates/feed/src/order.rs
@@ -4,8 +4,8 @@
 
 /// The order of changes, supplied by the user of this crate.
 pub trait ChangeOrder<R> {
-    /// Whether an incoming record replaces the record held under its key. The relation must be irreflexive and asymmetric:
-    /// no record supersedes itself, and no two records supersede each other.
+    /// Whether an incoming record replaces the record held under its key. The relation must be irreflexive and
+    /// asymmetric: no record supersedes itself, and no two records supersede each other.
     fn supersedes(&self, incoming: &R, held: Option<&R>) -> bool;
 
     /// The version of the next change to a key, given the record held under it.
--- a/crates/feed/src/records.rs
+++ b/crates/feed/src/records.rs
@@ -30,8 +30,9 @@
     /// The hashes of all records, as a [`BucketIndex`](crate::BucketIndex) keeps them.
     fn bucket_hashes(&self) -> BucketHashes;
 
-    /// A page of the records in `buckets` whose keys come after the key `after`, in key order: at least one record if there
-    /// is one, and otherwise at most `max_bytes` of them. [`Page::fill`] builds such a page from records in key order.
+    /// A page of the records in `buckets` whose keys come after the key `after`, in key order: at least one record if
+    /// there is one, and otherwise at most `max_bytes` of them. [`Page::fill`] builds such a page from records in key
+    /// order.
     fn page(&self, buckets: &BucketSet, after: Option<&str>, max_bytes: usize) -> Page<R>;
 }
 
@@ -45,8 +46,8 @@
 }
 
 impl<R: FeedRecord> Page<R> {
-    /// Builds a page from those `records` that are in `buckets`. `records` must be in key order and start where the page
-    /// starts. The page holds at most `max_bytes`, unless its only record is larger.
+    /// Builds a page from those `records` that are in `buckets`. `records` must be in key order and start where the
+    /// page starts. The page holds at most `max_bytes`, unless its only record is larger.
     pub fn fill<'a>(records: impl Iterator<Item = &'a R>, buckets: &BucketSet, max_bytes: usize) -> Self
     where
         R: 'a,
--- a/crates/feed/src/token_bucket.rs
+++ b/crates/feed/src/token_bucket.rs
@@ -3,8 +3,8 @@
 
 const MS_PER_S: f64 = 1000.0;
 
-/// A token bucket that limits bytes to a mean rate. It holds at most one second's worth of tokens and may go into debt by
-/// one page, so over any period it passes at most the rate times the period, plus one second's worth, plus one page.
+/// A token bucket that limits bytes to a mean rate. It holds at most one second's worth of tokens and may go into debt
+/// by one page, so over any period it passes at most the rate times the period, plus one second's worth, plus one page.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
     bytes_per_s: f64,
--- a/crates/feed/tests/simulation.rs
+++ b/crates/feed/tests/simulation.rs
@@ -1,44 +1,50 @@
-//! Control nodes and followers under one seed: connections that break, delays, cuts, crashes, stops and slow disks, while
-//! any control node changes records. What a follower holds, claims and acknowledges is checked all the time.
+//! Simulates control nodes and followers under one seed, with injected faults: broken connections, delays, network
+//! partitions, crashes, paused processes and slow disks, while any control node changes records. The records, positions
+//! and acknowledgements of the followers are checked throughout.
 mod support;
 
 use corkbay_feed::{FeedLimits, FollowerLimits, Ms};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use support::checker::Violation;
-use support::world::{Course, Plan, Planted, Time, World, MS, SECOND};
+use support::cluster::{
+    InjectedFault, SimulatedCluster, SimulationConfig, SimulationOutcome, Time, MS, SECOND,
+};
 use support::TestStore;
 
 const SEEDS: u64 = 200;
-/// Threads that play seeds.
+/// Number of threads that run seeds.
 const THREADS: u64 = 3;
-/// The time in which all followers must hold what control nodes hold.
-const IN_FORCE: u64 = 6 * SECOND;
+/// Time within which all followers must hold the records of the control nodes, in microseconds.
+const PROPAGATION_LIMIT: u64 = 6 * SECOND;
+/// Duration of the idle check, in microseconds.
 const IDLE: u64 = 9 * SECOND;
-/// The span after which followers go back where that is played, and the time in which all have: three times sixteen of
-/// these, and what lies between.
+/// Base delay of returns to the first choice, in the simulations that check returns.
 const RETURN_MS: Ms = 400.0;
-const ALL_RETURN: u64 = 30 * SECOND;
-/// Bytes of all records, at most.
-const MOST_COPY_BYTES: usize = 12 << 10;
-/// Pages that one copy after the other gets through in 2 s, at 30 ms from one to the next.
-const PAGES_IN_TIME: usize = 66;
-/// The most bytes of a heartbeat and its answer.
-const MOST_PAIR: u64 = 200;
-
-/// How many copies at a time serve all followers in time if they all come to one control node with nothing.
-fn copies_in_time(followers: usize, page_bytes: usize) -> usize {
-    let pages = MOST_COPY_BYTES.div_ceil(page_bytes);
-    (followers * pages).div_ceil(PAGES_IN_TIME)
+/// Time within which all followers must have returned, in microseconds: the longest delay of a return is three times
+/// sixteen base delays, to which the time between returns adds.
+const RETURN_LIMIT: u64 = 30 * SECOND;
+/// Maximum total size of all records.
+const MAX_COPY_BYTES: usize = 12 << 10;
+/// Number of pages that sequential copies transfer in 2 s, at 30 ms per page.
+const PAGES_PER_COPY_SLOT: usize = 66;
+/// Maximum size of a heartbeat and its answer together.
+const MAX_PAIR_BYTES: u64 = 200;
+
+/// The number of concurrent copies that serve all followers in time if all of them connect to one control node without
+/// any records.
+fn required_copies(followers: usize, page_bytes: usize) -> usize {
+    let pages = MAX_COPY_BYTES.div_ceil(page_bytes);
+    (followers * pages).div_ceil(PAGES_PER_COPY_SLOT)
 }
 
-fn plan(seed: u64, planted: Planted) -> Plan {
+fn config(seed: u64, injected_fault: InjectedFault) -> SimulationConfig {
     let mut rng = SmallRng::seed_from_u64(seed ^ 0x5eed);
     let followers = rng.random_range(3..=40);
     let page_bytes = rng.random_range(1..=6) << 10;
     let limits = FeedLimits {
         followers: 45,
-        full_copies: copies_in_time(followers, page_bytes) + rng.random_range(0..3),
+        full_copies: required_copies(followers, page_bytes) + rng.random_range(0..3),
         waiting_copies: rng.random_range(2..=45),
         bytes_per_s: rng.random_range(100_000.0..1_000_000.0),
         history: [4, 16, 64][rng.random_range(0..3)],
@@ -47,147 +53,178 @@
         page_bytes,
         ..FeedLimits::default()
     };
-    let (mut content, mut kept) = (TestStore::default(), TestStore::default());
-    content.fill(0, 100, 2, 10);
-    kept.fill(0, rng.random_range(0..100), 1, 10);
-    let troubled_until = rng.random_range(8..20) * SECOND;
+    let (mut control_records, mut follower_records) = (TestStore::default(), TestStore::default());
+    control_records.fill(0, 100, 2, 10);
+    follower_records.fill(0, rng.random_range(0..100), 1, 10);
+    let faults_until = rng.random_range(8..20) * SECOND;
     let controls = rng.random_range(3..=4);
     let follower_limits = FollowerLimits::default();
-    Plan { seed, planted, controls, followers, limits, follower_limits, content, kept, troubled_until }
+    SimulationConfig {
+        seed,
+        injected_fault,
+        controls,
+        followers,
+        limits,
+        follower_limits,
+        control_records,
+        follower_records,
+        faults_until,
+    }
 }
 
-fn play(seed: u64, planted: Planted) -> Result<Course, Violation> {
-    let plan = plan(seed, planted);
-    let troubled_until = plan.troubled_until;
-    let mut world = World::new(plan);
-    world.run_until(troubled_until)?;
-    world.check_settles(IN_FORCE)?;
-    world.check_idle(IDLE, MOST_PAIR)?;
-    world.check_change_while_one_is_away(IN_FORCE)?;
-    Ok(world.course())
+fn simulate(seed: u64, injected_fault: InjectedFault) -> Result<SimulationOutcome, Violation> {
+    let config = config(seed, injected_fault);
+    let faults_until = config.faults_until;
+    let mut cluster = SimulatedCluster::new(config);
+    cluster.run_until(faults_until)?;
+    cluster.check_converges(PROPAGATION_LIMIT)?;
+    cluster.check_idle(IDLE, MAX_PAIR_BYTES)?;
+    cluster.check_change_during_outage(PROPAGATION_LIMIT)?;
+    Ok(cluster.outcome())
 }
 
-/// Plays with followers that go back soon, so that they do so in the middle of the troubles; tells how many strayed at the
-/// end of these.
-fn play_returns(seed: u64) -> Result<usize, Violation> {
-    let mut plan = plan(seed, Planted::Nothing);
-    plan.follower_limits.return_ms = RETURN_MS;
-    let troubled_until = plan.troubled_until;
-    let mut world = World::new(plan);
-    world.run_until(troubled_until)?;
-    let strays = world.strays();
-    world.check_settles(ALL_RETURN)?;
-    assert_eq!(world.strays(), 0, "seed {seed}");
-    world.check_change_while_one_is_away(IN_FORCE)?;
-    Ok(strays)
+/// Runs a simulation with a short return delay, so that followers return while faults are injected. Returns how many
+/// followers weren't at their first choice when the injection of faults ended.
+fn simulate_returns(seed: u64) -> Result<usize, Violation> {
+    let mut config = config(seed, InjectedFault::None);
+    config.follower_limits.return_ms = RETURN_MS;
+    let faults_until = config.faults_until;
+    let mut cluster = SimulatedCluster::new(config);
+    cluster.run_until(faults_until)?;
+    let followers_not_at_first_choice = cluster.followers_not_at_first_choice();
+    cluster.check_converges(RETURN_LIMIT)?;
+    assert_eq!(cluster.followers_not_at_first_choice(), 0, "seed {seed}");
+    cluster.check_change_during_outage(PROPAGATION_LIMIT)?;
+    Ok(followers_not_at_first_choice)
 }
 
-/// The seeds, from the one that `CORKBAY_SEED` names or from 1 on, and as many as `CORKBAY_SEEDS` says.
+/// The seeds to run: the first is `CORKBAY_SEED` (default 1), the number of them is `CORKBAY_SEEDS`.
 fn seeds() -> std::ops::Range<u64> {
     let number = |name: &str| std::env::var(name).ok().and_then(|text| text.parse::<u64>().ok());
     let first = number("CORKBAY_SEED").unwrap_or(1);
     first..first + number("CORKBAY_SEEDS").unwrap_or(SEEDS)
 }
 
-/// What the seeds play out to, in their order.
-fn play_all(planted: Planted) -> Vec<(u64, Result<Course, Violation>)> {
-    let mut played: Vec<_> = std::thread::scope(|scope| {
-        let play_part = |part| {
+/// Runs all seeds and returns their outcomes in the order of the seeds.
+fn simulate_all(injected_fault: InjectedFault) -> Vec<(u64, Result<SimulationOutcome, Violation>)> {
+    let mut results: Vec<_> = std::thread::scope(|scope| {
+        let simulate_part = |part| {
             let seeds = seeds().filter(move |seed| seed % THREADS == part);
-            scope.spawn(move || seeds.map(|seed| (seed, play(seed, planted))).collect::<Vec<_>>())
+            scope.spawn(move || seeds.map(|seed| (seed, simulate(seed, injected_fault))).collect::<Vec<_>>())
         };
-        let threads: Vec<_> = (0..THREADS).map(play_part).collect();
-        threads.into_iter().flat_map(|thread| thread.join().expect("plays its seeds")).collect()
+        let threads: Vec<_> = (0..THREADS).map(simulate_part).collect();
+        threads.into_iter().flat_map(|thread| thread.join().expect("thread runs its seeds")).collect()
     });
-    played.sort_by_key(|entry| entry.0);
-    played
+    results.sort_by_key(|entry| entry.0);
+    results
 }
 
 #[test]
-fn followers_come_to_equal_the_control_nodes_whatever_happens() {
-    let mut troubles = [0; 8];
-    let (mut most_pair, mut most_idle) = (0, 0);
-    let (mut equal_after, mut in_force_after) = (Vec::new(), Vec::new());
-    let played = play_all(Planted::Nothing);
-    let found: Vec<_> = played.iter().filter(|(_, played)| played.is_err()).collect();
+fn followers_converge_to_the_control_nodes_under_faults() {
+    let mut fault_counts = [0; 8];
+    let (mut max_pair_bytes, mut max_idle_bytes) = (0, 0);
+    let (mut converged_after, mut propagated_after) = (Vec::new(), Vec::new());
+    let results = simulate_all(InjectedFault::None);
+    let found: Vec<_> = results.iter().filter(|(_, result)| result.is_err()).collect();
     assert!(found.is_empty(), "{found:?}");
-    for (seed, course) in played.into_iter().filter_map(|(seed, played)| Some((seed, played.ok()?))) {
-        most_pair = most_pair.max(course.most_idle_pair);
-        most_idle = most_idle.max(course.most_idle_bytes);
-        equal_after.push(course.equal_after);
-        in_force_after.push(course.in_force_after);
-        let feed = course.feed;
+    for (seed, outcome) in results.into_iter().filter_map(|(seed, result)| Some((seed, result.ok()?))) {
+        max_pair_bytes = max_pair_bytes.max(outcome.max_idle_pair_bytes);
+        max_idle_bytes = max_idle_bytes.max(outcome.max_idle_bytes);
+        converged_after.push(outcome.converged_after);
+        propagated_after.push(outcome.propagated_after);
+        let feed = outcome.feed;
         let counts = [
-            course.crashes,
-            course.torn,
-            course.stops,
-            course.cuts,
-            course.breaks,
+            outcome.crashes,
+            outcome.torn_writes,
+            outcome.pauses,
+            outcome.partitions,
+            outcome.broken_connections,
             feed.resumes,
             feed.compacted,
             feed.copies,
         ];
-        troubles.iter_mut().zip(counts).for_each(|(sum, count)| *sum += count);
+        fault_counts.iter_mut().zip(counts).for_each(|(sum, count)| *sum += count);
         if seed % 50 == 0 {
-            println!("seed {seed}: {course:?}");
+            println!("seed {seed}: {outcome:?}");
         }
     }
-    println!("crashes, torn, stops, cuts, breaks, resumes, compacted, copies: {troubles:?}");
     println!(
-        "most bytes of a heartbeat and its answer: {most_pair}; of {} s idle: {most_idle}",
+        "crashes, torn writes, pauses, partitions, breaks, resumes, compacted, copies: {fault_counts:?}"
+    );
+    println!(
+        "max bytes of a heartbeat and its answer: {max_pair_bytes}; of {} s idle: {max_idle_bytes}",
         IDLE / SECOND
     );
-    tell_spread("all equal after the troubles", equal_after);
-    tell_spread("in force while one is away", in_force_after);
-    assert!(troubles.iter().all(|count| *count > 100), "the troubles took place: {troubles:?}");
+    print_spread("time to converge after fault injection ended", converged_after);
+    print_spread("time to propagate a change while a control node is unavailable", propagated_after);
+    assert!(fault_counts.iter().all(|count| *count > 100), "each kind of fault must occur: {fault_counts:?}");
 }
 
-/// Guards control nodes against carrying the followers of one that failed for ever.
+/// Guards against an uneven load after a failure: followers that moved to other control nodes must return to their
+/// first choice once it has recovered.
 #[test]
-fn followers_go_back_to_their_first_choice_after_troubles() {
-    let strays: Vec<_> = seeds().take(40).map(|seed| play_returns(seed).expect("keeps the rules")).collect();
-    println!("followers at another control node at the end of the troubles: {strays:?}");
-    assert!(strays.iter().sum::<usize>() > 40, "there was something to come back from: {strays:?}");
+fn followers_return_to_their_first_choice_after_faults() {
+    let followers_not_at_first_choice: Vec<_> =
+        seeds().take(40).map(|seed| simulate_returns(seed).expect("simulation finds no violation")).collect();
+    println!(
+        "followers not at their first choice when fault injection ended: {followers_not_at_first_choice:?}"
+    );
+    assert!(
+        followers_not_at_first_choice.iter().sum::<usize>() > 40,
+        "followers must have moved to other control nodes: {followers_not_at_first_choice:?}"
+    );
 }
 
-fn tell_spread(what: &str, mut times: Vec<Time>) {
+fn print_spread(what: &str, mut times: Vec<Time>) {
     times.sort_unstable();
     let (median, most) = (times[times.len() / 2] / MS, times[times.len() - 1] / MS);
-    println!("{what}: median {median} ms, most {most} ms");
+    println!("{what}: median {median} ms, max {most} ms");
 }
 
-fn finds(planted: Planted, is_right: fn(&Violation) -> bool) {
-    let found: Vec<_> =
-        play_all(planted).into_iter().filter_map(|(seed, played)| Some((seed, played.err()?))).collect();
-    let right = found.iter().filter(|(_, violation)| is_right(violation)).count();
-    let (all, first, others) = (seeds().count(), found.first(), found.len() - right);
-    println!("{planted:?}: found in {right} of {all} seeds, first {first:?}; other findings: {others}");
-    assert!(right > 0, "{planted:?} is found: {found:?}");
+fn assert_detected(injected_fault: InjectedFault, is_expected: fn(&Violation) -> bool) {
+    let found: Vec<_> = simulate_all(injected_fault)
+        .into_iter()
+        .filter_map(|(seed, result)| Some((seed, result.err()?)))
+        .collect();
+    let expected = found.iter().filter(|(_, violation)| is_expected(violation)).count();
+    let (all, first, others) = (seeds().count(), found.first(), found.len() - expected);
+    println!(
+        "{injected_fault:?}: detected with {expected} of {all} seeds, first {first:?}; others: {others}"
+    );
+    assert!(expected > 0, "{injected_fault:?} must be detected: {found:?}");
 }
 
 #[test]
-fn a_revision_skipped_at_a_compaction_is_found() {
-    finds(Planted::SkipsAtCompaction, |found| matches!(found, Violation::ClaimsTooMuch { .. }));
+fn a_revision_skipped_at_a_compaction_is_detected() {
+    assert_detected(InjectedFault::SkipsAtCompaction, |found| {
+        matches!(found, Violation::PositionAheadOfDisk { .. })
+    });
 }
 
 #[test]
-fn a_resume_in_the_numbers_of_another_control_node_is_found() {
-    finds(Planted::OneNumbering, |found| matches!(found, Violation::ClaimsTooMuch { .. }));
+fn resuming_at_a_revision_of_another_incarnation_is_detected() {
+    assert_detected(InjectedFault::SharedIncarnation, |found| {
+        matches!(found, Violation::PositionAheadOfDisk { .. })
+    });
 }
 
 #[test]
-fn an_acknowledgement_before_the_sync_is_found() {
-    finds(Planted::AcknowledgesEarly, |found| matches!(found, Violation::AcknowledgedBeforeSync { .. }));
+fn an_acknowledgement_before_the_sync_is_detected() {
+    assert_detected(InjectedFault::AcknowledgesBeforeSync, |found| {
+        matches!(found, Violation::AcknowledgedBeforeSync { .. })
+    });
 }
 
 #[test]
-fn an_older_record_of_a_stale_control_node_is_found() {
-    finds(Planted::TakesOlder, |found| matches!(found, Violation::WentBack { .. }));
+fn accepting_an_older_record_of_a_stale_control_node_is_detected() {
+    assert_detected(InjectedFault::AcceptsOlderRecords, |found| {
+        matches!(found, Violation::OlderRecordWritten { .. })
+    });
 }
 
 #[test]
-fn a_seed_plays_out_the_same_way() {
+fn the_same_seed_gives_the_same_outcome() {
     for seed in 1..=5 {
-        assert_eq!(play(seed, Planted::Nothing), play(seed, Planted::Nothing), "seed {seed}");
+        assert_eq!(simulate(seed, InjectedFault::None), simulate(seed, InjectedFault::None), "seed {seed}");
     }
 }
--- a/crates/feed/tests/support/checker.rs
+++ b/crates/feed/tests/support/checker.rs
@@ -1,79 +1,85 @@
-//! What must hold at all times, whatever goes wrong.
+//! Checks the invariants of the feed, which must hold under all injected faults.
 use super::{TestRecord, TestStore};
 use corkbay_feed::{FeedRecord, Position};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// A process of a control node, by its number over all control nodes.
+/// A process of a control node, numbered across the restarts of all control nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Origin(pub usize);
 
-/// What was found to be broken.
+/// A violated invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Violation {
-    /// A follower took revisions of one incarnation twice or out of order.
+    /// A follower accepted revisions of one incarnation twice or out of order.
     OutOfOrder { follower: usize },
-    /// A follower's position claims a change that its disk doesn't hold.
-    ClaimsTooMuch { follower: usize, key: Arc<str> },
+    /// A follower's position covers a change that isn't on its disk.
+    PositionAheadOfDisk { follower: usize, key: Arc<str> },
     /// A record of a follower was replaced by one that isn't greater.
-    WentBack { follower: usize, key: Arc<str> },
-    /// A follower acknowledged what isn't on its disk.
+    OlderRecordWritten { follower: usize, key: Arc<str> },
+    /// A follower acknowledged a position that isn't on its disk.
     AcknowledgedBeforeSync { follower: usize },
-    /// A follower hasn't come to equal the control nodes in time.
-    NotEqual { follower: usize },
-    /// The control nodes don't equal each other, which is the simulation's own doing.
-    MeshNotEqual,
-    /// While nothing changes more is sent than heartbeats, or larger ones.
+    /// A follower's records didn't converge to those of the control nodes in time.
+    NotConverged { follower: usize },
+    /// The control nodes' records differ; the simulation replicates these itself, so this is an error in the
+    /// simulation.
+    ControlNodesDiffer,
+    /// While nothing changes, other messages than heartbeats are sent, heartbeats are too large, or none are sent.
     IdleTraffic { follower: usize },
-    /// A change isn't in force in time while a control node is away.
-    Late { follower: usize },
-    /// A control node does more at a time than its bounds allow.
-    OverBounds,
+    /// A change didn't reach a follower in time while a control node was unavailable.
+    ChangeLate { follower: usize },
+    /// A control node exceeded its limits on copies, waiting followers or connections.
+    LimitExceeded,
 }
 
-/// The changes of one process of a control node.
+/// The log of changes of one control node process.
 #[derive(Default)]
 struct Log {
     start: TestStore,
-    /// By key, the latest revision and its record.
+    /// The latest revision and record of each key.
     latest: BTreeMap<Arc<str>, (u64, TestRecord)>,
     keys: Vec<Arc<str>>,
 }
 
-/// What a follower claims, and up to where that was checked, as revisions of a process.
+/// The revision that a follower has accepted, and the one up to which its disk was checked, each with its process.
 #[derive(Clone, Default)]
-struct Claim {
-    taken: Option<(Origin, u64)>,
+struct FollowerProgress {
+    accepted: Option<(Origin, u64)>,
     checked: Option<(Origin, u64)>,
 }
 
-/// Follows what control nodes and followers do.
+/// Tracks the events of control nodes and followers and checks the invariants.
 pub struct Checker {
     logs: Vec<Log>,
-    claims: Vec<Claim>,
+    progress: Vec<FollowerProgress>,
 }
 
 impl Checker {
     pub fn new(followers: usize) -> Self {
-        Checker { logs: Vec::new(), claims: vec![Claim::default(); followers] }
+        Checker { logs: Vec::new(), progress: vec![FollowerProgress::default(); followers] }
     }
 
-    /// A control node started with these records.
-    pub fn started(&mut self, store: &TestStore) -> Origin {
+    /// Registers a control node process that started with these records.
+    pub fn register_process(&mut self, store: &TestStore) -> Origin {
         self.logs.push(Log { start: store.clone(), ..Log::default() });
         Origin(self.logs.len() - 1)
     }
 
-    /// A control node took in a change.
-    pub fn changed(&mut self, origin: Origin, record: &TestRecord) {
+    /// Records that a control node accepted a change.
+    pub fn record_change(&mut self, origin: Origin, record: &TestRecord) {
         let log = &mut self.logs[origin.0];
         log.keys.push(record.key.clone());
         log.latest.insert(record.key.clone(), (log.keys.len() as u64, record.clone()));
     }
 
-    /// A follower handed out a batch that leads to a position.
-    pub fn taken(&mut self, follower: usize, origin: Origin, revision: u64) -> Result<(), Violation> {
-        let before = self.claims[follower].taken.replace((origin, revision));
+    /// Checks that a batch handed out by a follower advances its position.
+    pub fn check_batch_order(
+        &mut self,
+        follower: usize,
+        origin: Origin,
+        revision: u64,
+    ) -> Result<(), Violation> {
+        let before = self.progress[follower].accepted.replace((origin, revision));
         let is_again = before.is_some_and(|before| before.0 == origin && before.1 >= revision);
         if is_again {
             return Err(Violation::OutOfOrder { follower });
@@ -81,21 +87,25 @@
         Ok(())
     }
 
-    /// A follower started anew, with what its disk holds.
-    pub fn restarted(&mut self, follower: usize, claim: Option<(Origin, u64)>) {
-        self.claims[follower] = Claim { taken: claim, checked: None };
+    /// Records that a follower restarted with the position on its disk.
+    pub fn record_restart(&mut self, follower: usize, origin_position: Option<(Origin, u64)>) {
+        self.progress[follower] = FollowerProgress { accepted: origin_position, checked: None };
     }
 
-    /// A record is written to a follower's disk.
-    pub fn written(follower: usize, held: Option<&TestRecord>, record: &TestRecord) -> Result<(), Violation> {
+    /// Checks that a record written to a follower's disk supersedes the held one.
+    pub fn check_write(
+        follower: usize,
+        held: Option<&TestRecord>,
+        record: &TestRecord,
+    ) -> Result<(), Violation> {
         if held.is_some_and(|held| !record.order(held).is_gt()) {
-            return Err(Violation::WentBack { follower, key: record.key.clone() });
+            return Err(Violation::OlderRecordWritten { follower, key: record.key.clone() });
         }
         Ok(())
     }
 
-    /// A follower's disk holds a position that counts in the numbers of a process.
-    pub fn claimed(
+    /// Checks that a follower's disk holds all changes up to its position, which is a revision of the process `origin`.
+    pub fn check_position(
         &mut self,
         follower: usize,
         origin: Origin,
@@ -106,39 +116,39 @@
         let holds = |record: &TestRecord| {
             disk.records.get(&record.key).is_some_and(|held| !record.order(held).is_gt())
         };
-        let from = match self.claims[follower].checked {
+        let from = match self.progress[follower].checked {
             Some((checked, from)) if checked == origin => from,
             _ => {
                 let lacks = log.start.records.values().find(|record| {
-                    // What changed behind the position is still to come.
+                    // Keys that changed after the position have yet to be sent.
                     !holds(record) && log.latest.get(&record.key).is_none_or(|latest| latest.0 <= revision)
                 });
                 if let Some(record) = lacks {
-                    return Err(Violation::ClaimsTooMuch { follower, key: record.key.clone() });
+                    return Err(Violation::PositionAheadOfDisk { follower, key: record.key.clone() });
                 }
                 0
             }
         };
-        // Nothing that was checked before can be lost since: records don't go back.
+        // Changes that were checked before can't be lost, as records are only replaced by newer ones.
         let upto = (revision as usize).min(log.keys.len());
         for key in &log.keys[(from as usize).min(upto)..upto] {
             let (latest, record) = &log.latest[key];
             if *latest <= revision && !holds(record) {
-                return Err(Violation::ClaimsTooMuch { follower, key: key.clone() });
+                return Err(Violation::PositionAheadOfDisk { follower, key: key.clone() });
             }
         }
-        self.claims[follower].checked = Some((origin, revision));
+        self.progress[follower].checked = Some((origin, revision));
         Ok(())
     }
 
-    /// A follower tells what it holds while its disk holds this.
-    pub fn acknowledged(
+    /// Checks that an acknowledged position isn't ahead of the one on the follower's disk.
+    pub fn check_acknowledgement(
         follower: usize,
-        said: Option<Position>,
+        acknowledged_position: Option<Position>,
         disk: Option<Position>,
     ) -> Result<(), Violation> {
-        let Some(said) = said else { return Ok(()) };
-        if disk.is_none_or(|disk| said.behind(disk).is_none()) {
+        let Some(acknowledged_position) = acknowledged_position else { return Ok(()) };
+        if disk.is_none_or(|disk| acknowledged_position.behind(disk).is_none()) {
             return Err(Violation::AcknowledgedBeforeSync { follower });
         }
         Ok(())
--- a/crates/feed/tests/support/world.rs
+++ b/crates/feed/tests/support/cluster.rs
@@ -1,10 +1,10 @@
-//! Control nodes, followers, their disks and their network in one thread, under one seed.
+//! Simulates control nodes, followers, their disks and their network in one thread, from one seed.
 mod checks;
 mod controls;
+mod faults;
 mod followers;
+mod injected_fault;
 mod network;
-mod planted;
-mod troubles;
 
 use super::checker::{Checker, Origin, Violation};
 use super::{TestRecord, TestStore};
@@ -17,72 +17,73 @@
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Time in the simulation, in microseconds.
+/// Simulated time, in microseconds.
 pub type Time = u64;
 pub const MS: Time = 1000;
 pub const SECOND: Time = 1000 * MS;
 const CONNECT_TIMEOUT: Time = 500 * MS;
 const MESH_INTERVAL: Time = 300 * MS;
-/// Bytes before each message.
-const FRAME_HEAD: usize = 8;
+/// Size of the frame header before each message.
+const FRAME_HEADER_BYTES: usize = 8;
 
-/// Faults that are built in to see that the checker finds them.
+/// Protocol faults injected to test that the checker detects them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Planted {
-    Nothing,
-    /// A follower whose position was compacted is sent on without the changes that were forgotten.
+pub enum InjectedFault {
+    None,
+    /// A follower whose position was compacted resumes without the changes that dropped out of the history.
     SkipsAtCompaction,
-    /// All control nodes count under one incarnation.
-    OneNumbering,
-    /// A batch is told as persisted before it is written.
-    AcknowledgesEarly,
-    /// A follower takes every record that isn't the one it holds, be it older.
-    TakesOlder,
+    /// All control nodes use the same incarnation.
+    SharedIncarnation,
+    /// A batch is reported as persisted before it is written.
+    AcknowledgesBeforeSync,
+    /// A follower accepts older records in place of the ones it holds.
+    AcceptsOlderRecords,
 }
 
-/// What a simulation begins with.
+/// The configuration of a simulation.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct SimulationConfig {
     pub seed: u64,
-    pub planted: Planted,
+    pub injected_fault: InjectedFault,
     pub controls: usize,
     pub followers: usize,
     pub limits: FeedLimits,
     pub follower_limits: FollowerLimits,
-    /// What control nodes hold, and what followers hold.
-    pub content: TestStore,
-    pub kept: TestStore,
-    /// Until when there are troubles and changes.
-    pub troubled_until: Time,
+    /// The initial records of the control nodes.
+    pub control_records: TestStore,
+    /// The initial records of the followers.
+    pub follower_records: TestStore,
+    /// When the injection of random faults and changes ends.
+    pub faults_until: Time,
 }
 
-/// What came about.
+/// The outcome of a simulation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Course {
+pub struct SimulationOutcome {
     pub crashes: u64,
-    pub torn: u64,
-    pub stops: u64,
-    pub cuts: u64,
-    pub breaks: u64,
+    pub torn_writes: u64,
+    pub pauses: u64,
+    pub partitions: u64,
+    pub broken_connections: u64,
     pub writes: u64,
     pub batches: u64,
-    /// How long it took all to hold the same once the troubles were over.
-    pub equal_after: Time,
-    /// How long it took a change to be in force while a control node was away.
-    pub in_force_after: Time,
-    pub most_idle_pair: u64,
-    pub most_idle_bytes: u64,
+    /// How long it took all nodes to converge once the injection of faults had ended.
+    pub converged_after: Time,
+    /// How long a change took to reach all followers while a control node was unavailable.
+    pub propagated_after: Time,
+    pub max_idle_pair_bytes: u64,
+    pub max_idle_bytes: u64,
     pub feed: FeedCounters,
 }
 
 struct TestOrder {
-    takes_older: bool,
+    accepts_older: bool,
 }
 
 impl ChangeOrder<TestRecord> for TestOrder {
     fn supersedes(&self, incoming: &TestRecord, held: Option<&TestRecord>) -> bool {
-        let takes_older = self.takes_older && held.is_some_and(|held| incoming.order(held).is_lt());
-        takes_older || GreaterRecord.supersedes(incoming, held)
+        let accepts_older = self.accepts_older && held.is_some_and(|held| incoming.order(held).is_lt());
+        accepts_older || GreaterRecord.supersedes(incoming, held)
     }
 
     fn next_version(&self, held: Option<&TestRecord>) -> u64 {
@@ -93,8 +94,8 @@
 #[derive(Default)]
 struct Process {
     is_up: bool,
-    life: u64,
-    stopped_until: Time,
+    generation: u64,
+    paused_until: Time,
     isolated_until: Time,
     wakes_at: Option<Time>,
 }
@@ -108,19 +109,19 @@
 struct Write {
     batch: BatchNumber,
     records: Vec<TestRecord>,
-    claim: Option<(Position, Origin)>,
+    origin_position: Option<(Position, Origin)>,
 }
 
 struct Disk {
     store: TestStore,
-    claim: Option<(Position, Origin)>,
+    origin_position: Option<(Position, Origin)>,
     writes: VecDeque<Write>,
     is_slow: bool,
 }
 
 struct FollowerNode {
-    machine: Follower<TestRecord, TestOrder>,
-    /// What it sees of its records, where that is ahead of the disk.
+    state_machine: Follower<TestRecord, TestOrder>,
+    /// The records visible to the follower, if they may be ahead of the disk.
     view: Option<TestStore>,
     disk: Disk,
     connection: Option<usize>,
@@ -134,24 +135,24 @@
     number: ConnectionNumber,
     follower: usize,
     control: usize,
-    lives: [u64; 2],
+    process_generations: [u64; 2],
     origin: Origin,
     is_closed: [bool; 2],
-    /// When the last message to each end arrives: the next one comes behind it.
+    /// When the last message to each end arrives; the next one must arrive later, to keep the order.
     arrival: [Time; 2],
     skips: bool,
 }
 
-/// What passed between a follower and control nodes.
+/// The traffic between a follower and control nodes while nothing changes.
 #[derive(Clone, Copy, Default)]
 struct IdleTraffic {
-    /// Bytes of the largest heartbeat.
+    /// Size of the largest heartbeat, in bytes.
     heartbeat: u64,
-    /// Bytes of the largest answer to one.
+    /// Size of the largest answer to a heartbeat, in bytes.
     answer: u64,
-    /// Bytes of all messages.
+    /// Total size of all messages, in bytes.
     all: u64,
-    /// Whether anything else was said.
+    /// Whether other messages than heartbeats and their answers were sent.
     has_others: bool,
 }
 
@@ -164,19 +165,19 @@
 }
 
 enum Event {
-    Wake { node: usize, life: u64 },
+    Wake { node: usize, generation: u64 },
     Start { node: usize },
     Message { connection: usize, end: usize, message: Message },
-    Written { follower: usize, life: u64 },
+    Written { follower: usize, generation: u64 },
     Merge { control: usize, record: TestRecord },
     Mesh,
-    Trouble,
+    Fault,
     Change,
 }
 
-/// Nodes are numbered with the control nodes first.
-pub struct World {
-    plan: Plan,
+/// A simulated cluster. Nodes are numbered with the control nodes first.
+pub struct SimulatedCluster {
+    config: SimulationConfig,
     rng: SmallRng,
     pub now: Time,
     events: BTreeMap<(Time, u64), Event>,
@@ -186,63 +187,63 @@
     followers: Vec<FollowerNode>,
     connections: Vec<Connection>,
     checker: Checker,
-    course: Course,
-    /// Bytes of records in differences, with the times at which they were sent.
+    outcome: SimulationOutcome,
+    /// When each difference page was sent, and the size of its records in bytes.
     pub differences: Vec<(Time, usize)>,
-    pub most_copies: usize,
-    /// What each follower has to do with while nothing changes; nothing while that isn't counted.
+    pub max_running_copies: usize,
+    /// The idle traffic of each follower; `None` while it isn't measured.
     idle: Option<Vec<IdleTraffic>>,
 }
 
 type Checked = Result<(), Violation>;
 
-impl World {
-    pub fn new(plan: Plan) -> Self {
-        let mut world = World {
-            rng: SmallRng::seed_from_u64(plan.seed),
+impl SimulatedCluster {
+    pub fn new(config: SimulationConfig) -> Self {
+        let mut cluster = SimulatedCluster {
+            rng: SmallRng::seed_from_u64(config.seed),
             now: 0,
             events: BTreeMap::new(),
             scheduled: 0,
-            processes: (0..plan.controls + plan.followers).map(|_| Process::default()).collect(),
+            processes: (0..config.controls + config.followers).map(|_| Process::default()).collect(),
             controls: Vec::new(),
             followers: Vec::new(),
             connections: Vec::new(),
-            checker: Checker::new(plan.followers),
-            course: Course::default(),
+            checker: Checker::new(config.followers),
+            outcome: SimulationOutcome::default(),
             differences: Vec::new(),
-            most_copies: 0,
+            max_running_copies: 0,
             idle: None,
-            plan,
+            config,
         };
-        for _ in 0..world.plan.controls {
-            let store = world.plan.content.clone();
-            let control = world.control(store);
-            world.controls.push(control);
+        for _ in 0..cluster.config.controls {
+            let store = cluster.config.control_records.clone();
+            let control = cluster.control(store);
+            cluster.controls.push(control);
         }
-        for follower in 0..world.plan.followers {
-            let is_slow = world.is_troubled() && world.rng.random_bool(0.1);
-            let store = world.plan.kept.clone();
-            let disk = Disk { store, claim: None, writes: VecDeque::new(), is_slow };
-            let machine = world.machine(follower, None);
-            world.followers.push(FollowerNode { machine, view: None, disk, connection: None });
+        for follower in 0..cluster.config.followers {
+            let is_slow = cluster.injects_faults() && cluster.rng.random_bool(0.1);
+            let store = cluster.config.follower_records.clone();
+            let disk = Disk { store, origin_position: None, writes: VecDeque::new(), is_slow };
+            let state_machine = cluster.state_machine(follower, None);
+            cluster.followers.push(FollowerNode { state_machine, view: None, disk, connection: None });
         }
-        for node in 0..world.processes.len() {
-            world.schedule(0, Event::Start { node });
+        for node in 0..cluster.processes.len() {
+            cluster.schedule(0, Event::Start { node });
         }
-        if world.is_troubled() {
-            world.schedule(0, Event::Change);
-            world.schedule(SECOND, Event::Trouble);
+        if cluster.injects_faults() {
+            cluster.schedule(0, Event::Change);
+            cluster.schedule(SECOND, Event::Fault);
         }
-        world.schedule(0, Event::Mesh);
-        world
+        cluster.schedule(0, Event::Mesh);
+        cluster
     }
 
-    pub fn course(&self) -> Course {
-        let mut course = self.course;
+    pub fn outcome(&self) -> SimulationOutcome {
+        let mut outcome = self.outcome;
         for control in &self.controls {
-            add(&mut course.feed, control.feed.counters());
+            add(&mut outcome.feed, control.feed.counters());
         }
-        course
+        outcome
     }
 
     pub fn run_until(&mut self, end: Time) -> Checked {
@@ -263,30 +264,31 @@
         self.now as Ms / MS as Ms
     }
 
-    fn is_troubled(&self) -> bool {
-        self.now < self.plan.troubled_until
+    fn injects_faults(&self) -> bool {
+        self.now < self.config.faults_until
     }
 
     fn control(&mut self, store: TestStore) -> Control {
-        let start = match self.plan.planted {
-            Planted::OneNumbering => Position { incarnation: 7, revision: 0 },
+        let start = match self.config.injected_fault {
+            InjectedFault::SharedIncarnation => Position { incarnation: 7, revision: 0 },
             _ => Position::start(&mut self.rng),
         };
-        let origin = self.checker.started(&store);
-        Control { feed: Feed::new(self.plan.limits.clone(), start, self.now_ms()), store, origin }
+        let origin = self.checker.register_process(&store);
+        Control { feed: Feed::new(self.config.limits.clone(), start, self.now_ms()), store, origin }
     }
 
-    fn machine(&self, follower: usize, position: Option<Position>) -> Follower<TestRecord, TestOrder> {
-        let order = TestOrder { takes_older: self.plan.planted == Planted::TakesOlder };
-        let limits = self.plan.follower_limits.clone();
+    fn state_machine(&self, follower: usize, position: Option<Position>) -> Follower<TestRecord, TestOrder> {
+        let order =
+            TestOrder { accepts_older: self.config.injected_fault == InjectedFault::AcceptsOlderRecords };
+        let limits = self.config.follower_limits.clone();
         Follower::new(&name(follower), limits, self.choice(follower), order, position)
     }
 
-    /// The choice of a follower that has not tried any control node yet.
+    /// The ranking of control nodes for a follower that hasn't tried any of them yet.
     fn choice(&self, follower: usize) -> ControlChoice {
         let zone = |number: usize| format!("zone-{}", number % 2);
         let address = |number: usize| format!("127.0.0.1:{}", 7000 + number);
-        let nodes = 0..self.plan.controls;
+        let nodes = 0..self.config.controls;
         let controls: Vec<ControlNode> =
             nodes.map(|number| ControlNode { address: address(number), zone: Some(zone(number)) }).collect();
         ControlChoice::new(&name(follower), Some(&zone(follower)), &controls).expect("has control nodes")
@@ -297,29 +299,31 @@
         self.events.insert((at, self.scheduled), event);
     }
 
-    /// A node that has been stopped meets with what happened once it goes on.
+    /// When a paused node resumes and handles the event; `None` if its node isn't paused.
     fn postponed_until(&self, event: &Event) -> Option<Time> {
         let node = match event {
             Event::Wake { node, .. } => *node,
             Event::Message { connection, end, .. } => self.node_at(*connection, *end),
-            Event::Written { follower, .. } => self.plan.controls + follower,
+            Event::Written { follower, .. } => self.config.controls + follower,
             Event::Merge { control, .. } => *control,
             _ => return None,
         };
-        let until = self.processes[node].stopped_until;
+        let until = self.processes[node].paused_until;
         (until > self.now).then_some(until)
     }
 
     fn handle(&mut self, event: Event) -> Checked {
         match event {
             Event::Start { node } => self.start(node),
-            Event::Wake { node, life } if self.lives(node, life) => {
+            Event::Wake { node, generation } if self.is_alive(node, generation) => {
                 self.processes[node].wakes_at = None;
                 self.tick(node)
             }
             Event::Message { connection, end, message } => self.deliver(connection, end, message),
-            Event::Written { follower, life } if self.lives(self.plan.controls + follower, life) => {
-                self.written(follower)
+            Event::Written { follower, generation }
+                if self.is_alive(self.config.controls + follower, generation) =>
+            {
+                self.finish_write(follower)
             }
             Event::Merge { control, record } if self.processes[control].is_up => {
                 self.merge(control, record);
@@ -330,30 +334,30 @@
                 self.schedule(self.now + MESH_INTERVAL, Event::Mesh);
                 Ok(())
             }
-            Event::Change if self.is_troubled() => {
-                let control = self.rng.random_range(0..self.plan.controls);
-                if self.runs(control) {
+            Event::Change if self.injects_faults() => {
+                let control = self.rng.random_range(0..self.config.controls);
+                if self.is_running(control) {
                     self.change(control);
                 }
                 let next = self.now + self.rng.random_range(0..150 * MS);
                 self.schedule(next, Event::Change);
                 Ok(())
             }
-            Event::Trouble if self.is_troubled() => {
+            Event::Fault if self.injects_faults() => {
                 let next = self.now + self.rng.random_range(0..600 * MS);
-                self.schedule(next, Event::Trouble);
-                self.trouble()
+                self.schedule(next, Event::Fault);
+                self.inject_random_fault()
             }
             _ => Ok(()),
         }
     }
 
-    fn lives(&self, node: usize, life: u64) -> bool {
-        self.processes[node].is_up && self.processes[node].life == life
+    fn is_alive(&self, node: usize, generation: u64) -> bool {
+        self.processes[node].is_up && self.processes[node].generation == generation
     }
 
-    fn runs(&self, node: usize) -> bool {
-        self.processes[node].is_up && self.processes[node].stopped_until <= self.now
+    fn is_running(&self, node: usize) -> bool {
+        self.processes[node].is_up && self.processes[node].paused_until <= self.now
     }
 
     fn start(&mut self, node: usize) -> Checked {
@@ -361,40 +365,43 @@
         if std::mem::replace(&mut process.is_up, true) {
             return Ok(());
         }
-        process.life += 1;
+        process.generation += 1;
         process.wakes_at = None;
-        if node < self.plan.controls {
+        if node < self.config.controls {
             let counters = self.controls[node].feed.counters();
-            add(&mut self.course.feed, counters);
+            add(&mut self.outcome.feed, counters);
             let store = std::mem::take(&mut self.controls[node].store);
             self.controls[node] = self.control(store);
             return Ok(());
         }
-        let follower = node - self.plan.controls;
-        let claim = self.followers[follower].disk.claim;
-        self.checker.restarted(follower, claim.map(|(position, origin)| (origin, position.revision)));
-        if let Some((position, origin)) = claim {
+        let follower = node - self.config.controls;
+        let origin_position = self.followers[follower].disk.origin_position;
+        self.checker
+            .record_restart(follower, origin_position.map(|(position, origin)| (origin, position.revision)));
+        if let Some((position, origin)) = origin_position {
             let disk = &self.followers[follower].disk.store;
-            self.checker.claimed(follower, origin, position.revision, disk)?;
+            self.checker.check_position(follower, origin, position.revision, disk)?;
         }
-        self.followers[follower].machine = self.machine(follower, claim.map(|claim| claim.0));
+        self.followers[follower].state_machine =
+            self.state_machine(follower, origin_position.map(|origin_position| origin_position.0));
         self.followers[follower].connection = None;
-        // Half of the daemons show a record before it lasts.
-        let shows_early = self.plan.planted == Planted::AcknowledgesEarly || self.rng.random_bool(0.5);
+        // Half of the followers see a record before it is on disk.
+        let shows_early =
+            self.config.injected_fault == InjectedFault::AcknowledgesBeforeSync || self.rng.random_bool(0.5);
         self.followers[follower].view = shows_early.then(|| self.followers[follower].disk.store.clone());
         self.tick(node)
     }
 
     fn tick(&mut self, node: usize) -> Checked {
         let now = self.now_ms();
-        if node < self.plan.controls {
+        if node < self.config.controls {
             let control = &mut self.controls[node];
             control.feed.tick(&control.store, now);
-            return self.act_control(node);
+            return self.run_control_actions(node);
         }
-        let follower = node - self.plan.controls;
-        self.followers[follower].machine.tick(now, &mut self.rng);
-        self.act_follower(follower)
+        let follower = node - self.config.controls;
+        self.followers[follower].state_machine.tick(now, &mut self.rng);
+        self.run_follower_actions(follower)
     }
 
     fn wake(&mut self, node: usize, at: Option<Ms>) {
@@ -403,8 +410,8 @@
         let process = &mut self.processes[node];
         if process.wakes_at.is_none_or(|earlier| at < earlier) {
             process.wakes_at = Some(at);
-            let life = process.life;
-            self.schedule(at, Event::Wake { node, life });
+            let generation = process.generation;
+            self.schedule(at, Event::Wake { node, generation });
         }
     }
 }
--- a/crates/feed/tests/support/world/troubles.rs
+++ b/crates/feed/tests/support/cluster/faults.rs
@@ -1,47 +1,47 @@
-//! Crashes, stops and cuts.
-use super::followers::put_all;
+//! Injects random faults: crashes, pauses and network partitions.
+use super::followers::write_records;
 use super::*;
 
-impl World {
-    pub(super) fn trouble(&mut self) -> Checked {
-        // Control nodes have as many as followers, though they are fewer.
+impl SimulatedCluster {
+    pub(super) fn inject_random_fault(&mut self) -> Checked {
+        // Control nodes get half of the faults, although they are fewer than the followers.
         let is_control = self.rng.random_bool(0.5);
         let node = match is_control {
-            true => self.rng.random_range(0..self.plan.controls),
-            false => self.rng.random_range(self.plan.controls..self.processes.len()),
+            true => self.rng.random_range(0..self.config.controls),
+            false => self.rng.random_range(self.config.controls..self.processes.len()),
         };
         let span = if self.rng.random_bool(0.6) { SECOND } else { 8 * SECOND };
-        let until = (self.now + self.rng.random_range(10 * MS..span)).min(self.plan.troubled_until);
+        let until = (self.now + self.rng.random_range(10 * MS..span)).min(self.config.faults_until);
         match self.rng.random_range(0..3) {
             0 => {
                 let node = self.writing().filter(|_| !is_control).unwrap_or(node);
                 self.crash(node, until)?;
             }
             1 => {
-                self.course.stops += 1;
-                self.processes[node].stopped_until = until;
+                self.outcome.pauses += 1;
+                self.processes[node].paused_until = until;
             }
             _ => {
-                self.course.cuts += 1;
+                self.outcome.partitions += 1;
                 self.processes[node].isolated_until = until;
             }
         }
         Ok(())
     }
 
-    /// A follower that has something on its way to disk, where there is one.
+    /// The node number of a follower with a pending write, if there is one.
     pub(super) fn writing(&mut self) -> Option<usize> {
         let writes = |node: &FollowerNode| !node.disk.writes.is_empty();
-        Some(self.plan.controls + self.followers.iter().position(writes)?)
+        Some(self.config.controls + self.followers.iter().position(writes)?)
     }
 
-    /// Kills a process and starts it again later.
+    /// Crashes a process and restarts it at `until`.
     pub(super) fn crash(&mut self, node: usize, until: Time) -> Checked {
         if !std::mem::take(&mut self.processes[node].is_up) {
             return Ok(());
         }
-        self.course.crashes += 1;
-        self.processes[node].stopped_until = 0;
+        self.outcome.crashes += 1;
+        self.processes[node].paused_until = 0;
         self.schedule(until, Event::Start { node });
         for index in 0..self.connections.len() {
             let ends = [AT_FOLLOWER, AT_CONTROL];
@@ -50,14 +50,15 @@
                 self.close(index, end);
             }
         }
-        if node >= self.plan.controls {
-            self.tear(node - self.plan.controls)?;
+        if node >= self.config.controls {
+            self.lose_pending_writes(node - self.config.controls)?;
         }
         Ok(())
     }
 
-    /// Of what was on its way to disk, whole batches are kept, then a part of the records of one.
-    pub(super) fn tear(&mut self, follower: usize) -> Checked {
+    /// Simulates the loss of pending writes in a crash: a random number of batches is written completely, then some
+    /// records of the next one (a torn write).
+    pub(super) fn lose_pending_writes(&mut self, follower: usize) -> Checked {
         let count = self.followers[follower].disk.writes.len();
         for _ in 0..self.rng.random_range(0..=count) {
             self.write_oldest(follower)?;
@@ -65,9 +66,9 @@
         let disk = &mut self.followers[follower].disk;
         let torn = std::mem::take(&mut disk.writes).pop_front();
         if let Some(mut write) = torn {
-            self.course.torn += 1;
+            self.outcome.torn_writes += 1;
             write.records.truncate(self.rng.random_range(0..=write.records.len()));
-            put_all(follower, &mut disk.store, write.records)?;
+            write_records(follower, &mut disk.store, write.records)?;
         }
         Ok(())
     }
--- a/crates/feed/tests/support/world/planted.rs
+++ b/crates/feed/tests/support/cluster/injected_fault.rs
@@ -1,20 +1,23 @@
-//! A fault that is planted between the two sides.
+//! A protocol fault injected between the two sides.
 use super::*;
 
-impl World {
-    /// Plants [`Planted::SkipsAtCompaction`]: the control node is told that nothing differs, the follower that it was sent
-    /// everything.
-    pub(super) fn plant_skip(
+impl SimulatedCluster {
+    /// Injects [`InjectedFault::SkipsAtCompaction`]: answers the control node that no bucket differs, and tells the
+    /// follower that it received all changes.
+    pub(super) fn inject_skip(
         &mut self,
         index: usize,
         message: ControlMessage<TestRecord>,
     ) -> Result<Option<ControlMessage<TestRecord>>, Violation> {
         let connection = &mut self.connections[index];
         let disk = &self.followers[connection.follower].disk;
-        let newest = disk.writes.iter().rev().find_map(|write| write.claim).or(disk.claim);
+        let newest =
+            disk.writes.iter().rev().find_map(|write| write.origin_position).or(disk.origin_position);
         let control = &mut self.controls[connection.control];
-        let taken = newest.filter(|claim| claim.1 == control.origin).map(|claim| claim.0);
-        let (Planted::SkipsAtCompaction, Some(after)) = (self.plan.planted, taken) else {
+        let accepted = newest
+            .filter(|origin_position| origin_position.1 == control.origin)
+            .map(|origin_position| origin_position.0);
+        let (InjectedFault::SkipsAtCompaction, Some(after)) = (self.config.injected_fault, accepted) else {
             return Ok(Some(message));
         };
         match message {
@@ -24,7 +27,7 @@
                 let (session, now) = (SessionNumber(index as u64), self.now as Ms / MS as Ms);
                 control.feed.message(session, buckets, &control.store, now);
                 let node = connection.control;
-                self.act_control(node)?;
+                self.run_control_actions(node)?;
                 Ok(None)
             }
             ControlMessage::Difference { last: Some(last), .. } if connection.skips => {
--- a/crates/feed/tests/support/world/network.rs
+++ b/crates/feed/tests/support/cluster/network.rs
@@ -1,33 +1,33 @@
-//! Connections: each keeps its order, and ends in many ways.
+//! Connections: they deliver messages in order and can be refused, broken or closed by either end.
 use super::*;
 
-impl World {
+impl SimulatedCluster {
     pub(super) fn node_at(&self, connection: usize, end: usize) -> usize {
         let connection = &self.connections[connection];
-        [self.plan.controls + connection.follower, connection.control][end]
+        [self.config.controls + connection.follower, connection.control][end]
     }
 
-    pub(super) fn cut_until(&self, one: usize, other: usize) -> Time {
+    pub(super) fn partitioned_until(&self, one: usize, other: usize) -> Time {
         self.processes[one].isolated_until.max(self.processes[other].isolated_until)
     }
 
     pub(super) fn delay(&mut self) -> Time {
-        let is_late = self.is_troubled() && self.rng.random_bool(0.03);
+        let is_late = self.injects_faults() && self.rng.random_bool(0.03);
         self.rng.random_range(MS..if is_late { 900 * MS } else { 15 * MS })
     }
 
     pub(super) fn connect(&mut self, follower: usize, number: ConnectionNumber, control: usize) {
         let index = self.connections.len();
-        let node = self.plan.controls + follower;
-        let lives = [self.processes[node].life, self.processes[control].life];
-        let is_cut = self.cut_until(node, control) > self.now;
+        let node = self.config.controls + follower;
+        let process_generations = [self.processes[node].generation, self.processes[control].generation];
+        let is_partitioned = self.partitioned_until(node, control) > self.now;
         let is_refused = !self.processes[control].is_up;
-        let closed = is_cut || is_refused;
+        let closed = is_partitioned || is_refused;
         self.connections.push(Connection {
             number,
             follower,
             control,
-            lives,
+            process_generations,
             origin: self.controls[control].origin,
             is_closed: [false, closed],
             arrival: [0; 2],
@@ -35,13 +35,13 @@
         });
         self.followers[follower].connection = Some(index);
         if closed {
-            let at = self.now + if is_cut { CONNECT_TIMEOUT } else { MS };
+            let at = self.now + if is_partitioned { CONNECT_TIMEOUT } else { MS };
             let event = Event::Message { connection: index, end: AT_FOLLOWER, message: Message::Closed };
             self.schedule(at, event);
             return;
         }
         self.send(index, AT_CONTROL, Message::Opened);
-        // The kernel answers, also for a process that is stopped.
+        // The kernel accepts the connection even if the process is paused.
         self.send(index, AT_FOLLOWER, Message::Opened);
     }
 
@@ -49,18 +49,18 @@
         if self.connections[index].is_closed[1 - end] {
             return;
         }
-        if self.is_troubled() && self.rng.random_bool(0.002) {
-            self.course.breaks += 1;
+        if self.injects_faults() && self.rng.random_bool(0.002) {
+            self.outcome.broken_connections += 1;
             for end in [AT_FOLLOWER, AT_CONTROL] {
                 let at = self.now + self.delay();
                 self.schedule(at, Event::Message { connection: index, end, message: Message::Closed });
             }
             return;
         }
-        self.count_idle(index, &message);
-        // Where the way is cut it is sent again until it isn't.
+        self.measure_idle(index, &message);
+        // During a partition the message is retransmitted until the partition ends.
         let (follower, control) = (self.node_at(index, AT_FOLLOWER), self.node_at(index, AT_CONTROL));
-        let leaves = self.now.max(self.cut_until(follower, control));
+        let leaves = self.now.max(self.partitioned_until(follower, control));
         let at = (leaves + self.delay()).max(self.connections[index].arrival[end] + 1);
         self.connections[index].arrival[end] = at;
         self.schedule(at, Event::Message { connection: index, end, message });
@@ -77,7 +77,7 @@
         if connection.is_closed[end] || !self.processes[node].is_up {
             return Ok(());
         }
-        if self.processes[node].life != connection.lives[end] {
+        if self.processes[node].generation != connection.process_generations[end] {
             return Ok(());
         }
         connection.is_closed[end] |= matches!(message, Message::Closed);
@@ -89,25 +89,25 @@
                 Message::Opened => feed.connected(session, now),
                 Message::Closed => feed.disconnected(session),
                 Message::ToControl(message) => feed.message(session, message, store, now),
-                Message::ToFollower(_) => unreachable!("goes to the other end"),
+                Message::ToFollower(_) => unreachable!("message is for the other end"),
             }
-            return self.act_control(node);
+            return self.run_control_actions(node);
         }
         let message = match message {
-            Message::ToFollower(message) => match self.plant_skip(index, message)? {
+            Message::ToFollower(message) => match self.inject_skip(index, message)? {
                 Some(message) => Message::ToFollower(message),
                 None => return Ok(()),
             },
             other => other,
         };
-        let FollowerNode { machine, view, disk, .. } = &mut self.followers[follower];
+        let FollowerNode { state_machine, view, disk, .. } = &mut self.followers[follower];
         let view = view.as_ref().unwrap_or(&disk.store);
         match message {
-            Message::Opened => machine.connected(number, view, now),
-            Message::Closed => machine.disconnected(number, now, &mut self.rng),
-            Message::ToFollower(message) => machine.message(number, message, view, now, &mut self.rng),
-            Message::ToControl(_) => unreachable!("goes to the other end"),
+            Message::Opened => state_machine.connected(number, view, now),
+            Message::Closed => state_machine.disconnected(number, now, &mut self.rng),
+            Message::ToFollower(message) => state_machine.message(number, message, view, now, &mut self.rng),
+            Message::ToControl(_) => unreachable!("message is for the other end"),
         }
-        self.act_follower(follower)
+        self.run_follower_actions(follower)
     }
 }
--- a/crates/feed/tests/support/mod.rs
+++ b/crates/feed/tests/support/mod.rs
@@ -1,7 +1,7 @@
 //! Records and stores for tests.
 #![allow(dead_code)]
 pub mod checker;
-pub mod world;
+pub mod cluster;
 
 use corkbay_feed::{stable_hash, BucketHashes, BucketIndex, BucketSet, FeedRecord, Page, Records};
 use serde::{Deserialize, Serialize};
@@ -15,7 +15,7 @@
     pub key: Arc<str>,
     pub version: u64,
     pub writer: u64,
-    /// Nothing where it was deleted.
+    /// `None` for a deletion.
     pub value: Option<Arc<str>>,
 }
 
@@ -64,16 +64,16 @@
         self.records.insert(record.key.clone(), record);
     }
 
-    /// Whether the record was news.
+    /// Stores the record if it supersedes the held one, and returns whether it did.
     pub fn merge(&mut self, record: TestRecord) -> bool {
-        let is_news = self.records.get(&record.key).is_none_or(|held| record.order(held).is_gt());
-        if is_news {
+        let is_newer = self.records.get(&record.key).is_none_or(|held| record.order(held).is_gt());
+        if is_newer {
             self.put(record);
         }
-        is_news
+        is_newer
     }
 
-    /// Records `first..first + count`, each with a value of so many bytes.
+    /// Stores the records `first..first + count`, each with a value of `bytes` bytes.
     pub fn fill(&mut self, first: usize, count: usize, version: u64, bytes: usize) {
         for number in first..first + count {
             self.put(TestRecord::new(&format!("key/{number}"), version, 0, Some(&"x".repeat(bytes))));
@@ -90,9 +90,9 @@
         self.index.hashes()
     }
 
-    fn page(&self, buckets: &BucketSet, after: Option<&str>, most_bytes: usize) -> Page<TestRecord> {
+    fn page(&self, buckets: &BucketSet, after: Option<&str>, max_bytes: usize) -> Page<TestRecord> {
         let from = after.map_or(Bound::Unbounded, Bound::Excluded);
         let records = self.records.range::<str, _>((from, Bound::Unbounded));
-        Page::fill(records.map(|entry| entry.1), buckets, most_bytes)
+        Page::fill(records.map(|entry| entry.1), buckets, max_bytes)
     }
 }
--- a/crates/feed/tests/units/choice.rs
+++ b/crates/feed/tests/units/choice.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn nobody_to_follow_is_an_error() {
+fn an_empty_list_of_control_nodes_is_an_error() {
     assert_eq!(ControlChoice::new("n", None, &[]).err(), Some(NoControlNodes));
 }
 
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn the_back_off_grows_to_its_bound_and_ends_with_a_success() {
+fn the_back_off_grows_to_its_limit_and_is_reset_by_a_success() {
     let mut choice = choice(1, "a", &["a", "a"]);
     let (control, mut rng) = (connect(&choice, 0.0), rng());
     let mut longest = [0.0; 20];
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn while_all_fail_one_is_tried_soon() {
+fn while_all_control_nodes_fail_one_is_retried_soon() {
     let mut choice = choice(1, "a", &["a", "b", "c"]);
     let (mut rng, mut now) = (rng(), 0.0);
     for _ in 0..300 {
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_busy_one_is_left_alone_for_as_long_as_it_asked() {
+fn a_busy_control_node_is_not_retried_before_the_requested_delay() {
     let mut choice = choice(1, "a", &["a"]);
     choice.busy(ControlNumber(0), 1_000.0, 0.0, &mut rng());
     let ConnectDecision::WaitUntil(until) = choice.next(0.0) else { panic!("connects at once") };
--- a/crates/feed/tests/units/history.rs
+++ b/crates/feed/tests/units/history.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Keys with their latest revisions, from a log that forgets nothing.
+/// The keys with their latest revisions after `revision`, from a complete log.
 fn naive_since(log: &[Arc<str>], revision: u64) -> Vec<(u64, Arc<str>)> {
     let mut latest = BTreeMap::new();
     for (index, key) in log.iter().enumerate() {
@@ -29,13 +29,13 @@
         let all = naive_since(&log, 0);
         for revision in 0..=log.len() as u64 {
             let expected = naive_since(&log, revision);
-            let told = history.since(revision).map(|changes| {
+            let actual = history.since(revision).map(|changes| {
                 changes.map(|(at, key)| (at, key.clone())).collect::<Vec<_>>()
             });
-            prop_assert_eq!(history.covers(revision), told.is_ok());
-            match told {
+            prop_assert_eq!(history.covers(revision), actual.is_ok());
+            match actual {
                 Ok(changes) => prop_assert_eq!(changes, expected),
-                // It forgets no more than it must.
+                // No more keys are dropped than the capacity requires.
                 Err(Compacted) => prop_assert!(expected.len() > capacity, "{} of {}", expected.len(), all.len()),
             }
         }
--- a/crates/feed/tests/units/main.rs
+++ b/crates/feed/tests/units/main.rs
@@ -1,4 +1,4 @@
-//! Each part of the feed by itself.
+//! Unit tests of the parts of the feed.
 #[path = "../support/mod.rs"]
 mod support;
 
--- a/crates/feed/tests/units/messages.rs
+++ b/crates/feed/tests/units/messages.rs
@@ -1,23 +1,25 @@
 use crate::support::{TestRecord, TestStore};
 use corkbay_feed::{ControlMessage, FollowerMessage, Position, Records};
 
-const FRAME_HEAD: usize = 8;
+const FRAME_HEADER_BYTES: usize = 8;
 const GREATEST: Position = Position { incarnation: u64::MAX, revision: u64::MAX };
 
 #[test]
 fn a_heartbeat_and_its_answer_fit_200_bytes_whatever_the_position() {
     let heartbeat = ControlMessage::<TestRecord>::Heartbeat { position: GREATEST };
     let answer = FollowerMessage::Applied { position: Some(GREATEST) };
-    let texts =
-        [serde_json::to_string(&heartbeat).expect("writes"), serde_json::to_string(&answer).expect("writes")];
-    let bytes: usize = texts.iter().map(|text| text.len() + FRAME_HEAD).sum();
+    let texts = [
+        serde_json::to_string(&heartbeat).expect("message serializes"),
+        serde_json::to_string(&answer).expect("message serializes"),
+    ];
+    let bytes: usize = texts.iter().map(|text| text.len() + FRAME_HEADER_BYTES).sum();
     println!("{bytes} bytes: {texts:?}");
     assert!(bytes <= 200, "{bytes}");
 }
 
-/// Guards talk between versions: the text of each message stays.
+/// Guards against incompatibility between versions: the text of each message must not change.
 #[test]
-fn messages_read_and_write_as_ever() {
+fn the_text_of_messages_does_not_change() {
     let record = TestRecord::new("k", 2, 3, None);
     let position = Position { incarnation: 255, revision: 7 };
     let hashes = TestStore::default().bucket_hashes();
@@ -36,8 +38,11 @@
         (ControlMessage::Busy { retry_after_ms: 5 }, r#"{"busy":{"retry_after_ms":5}}"#),
     ];
     for (message, text) in from_control {
-        assert_eq!(serde_json::to_string(&message).expect("writes"), text);
-        assert_eq!(serde_json::from_str::<ControlMessage<TestRecord>>(text).expect("reads"), message);
+        assert_eq!(serde_json::to_string(&message).expect("message serializes"), text);
+        assert_eq!(
+            serde_json::from_str::<ControlMessage<TestRecord>>(text).expect("message deserializes"),
+            message
+        );
     }
     let from_follower = [
         (
@@ -52,8 +57,8 @@
         ),
     ];
     for (message, text) in from_follower {
-        assert_eq!(serde_json::to_string(&message).expect("writes"), text);
-        assert_eq!(serde_json::from_str::<FollowerMessage>(&text).expect("reads"), message);
+        assert_eq!(serde_json::to_string(&message).expect("message serializes"), text);
+        assert_eq!(serde_json::from_str::<FollowerMessage>(&text).expect("message deserializes"), message);
     }
 }
 
