--- a/crates/feed/src/feed.rs
+++ b/crates/feed/src/feed.rs
@@ -66,7 +66,7 @@
     bucket_changed: [u64; BUCKETS],
     sessions: BTreeMap<SessionNumber, Session>,
     copies: CopyQueue,
-    /// Whether there are changes since the last tick, which no follower has been sent yet.
+    /// Whether records changed since the last tick, so that followers may have changes to be sent.
     has_unsent_changes: bool,
     actions: Vec<FeedAction<R>>,
     counters: FeedCounters,
--- a/crates/feed/src/follower.rs
+++ b/crates/feed/src/follower.rs
@@ -35,7 +35,8 @@
     state: FollowerState,
     /// The newest connection.
     connection: ConnectionNumber,
-    /// Start of the current timeout: when the state was entered or, if later, the last message was received in it.
+    /// Start of the current timeout: when the state was entered or, if later, when the hello was sent or the last
+    /// message received in it.
     timeout_start: Ms,
     last_heard: Option<Ms>,
     /// When the follower returns to a control node that it prefers.
--- a/crates/feed/tests/units/feed.rs
+++ b/crates/feed/tests/units/feed.rs
@@ -62,7 +62,8 @@
     }
 }
 
-/// The first and last revision and the number of records of each message of changes.
+/// For each message of changes: the revision that it continues from, the one that it leads to, and its number of
+/// records.
 fn revision_ranges(messages: &[ControlMessage<TestRecord>]) -> Vec<(u64, u64, usize)> {
     let span = |message: &ControlMessage<TestRecord>| match message {
         ControlMessage::Changes { after, upto, records } => (after.revision, *upto, records.len()),
