--- a/crates/rig/src/daemon.rs
+++ b/crates/rig/src/daemon.rs
@@ -11,31 +11,31 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-const PATIENCE: Duration = Duration::from_secs(10);
+const STATUS_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A started daemon; it ends with this.
+/// A running daemon; it is killed when this value is dropped.
 #[derive(Debug)]
 pub struct Daemon {
     child: Child,
-    /// Where its invoke API listens.
+    /// The address of its invoke API.
     pub address: SocketAddr,
 }
 
-/// What the deploy file of an emulated day says.
+/// Contents of the deploy file of a test run.
 #[derive(Clone, Debug)]
 pub struct Deployment {
     /// Lines before the first table, such as `memory_mb = 128`.
     pub head: String,
-    /// What is spoken to workers: `http` or `frames`.
+    /// Protocol for talking to workers: `http` or `frames`.
     pub protocol: &'static str,
-    /// Workers.
+    /// Addresses of the workers.
     pub workers: Vec<SocketAddr>,
-    /// Functions of each class.
+    /// Number of functions of each class.
     pub functions: usize,
 }
 
 impl Deployment {
-    /// The text of the file.
+    /// Formats the deploy file.
     pub fn text(&self) -> String {
         let mut text = format!(
             "node = \"rig\"\nlisten = \"127.0.0.1:0\"\n{}\n[transport]\nprotocol = \"{}\"\norders = {}\n\
@@ -74,7 +74,7 @@
 }
 
 impl Daemon {
-    /// Starts `program serve` with a deploy file that is written into a folder; its log goes there as well.
+    /// Writes the deploy file into a folder and starts `program serve` with it. The daemon's log goes to the same folder.
     pub fn start(program: &Path, folder: &Path, deployment: &Deployment) -> io::Result<Self> {
         std::fs::create_dir_all(folder)?;
         let file = folder.join("deploy.toml");
@@ -94,9 +94,9 @@
         Ok(Daemon { child, address })
     }
 
-    /// Looks at what it holds; resident memory as the kernel counts it from outside.
-    pub fn sample(&self, began: Instant, phase: &str) -> io::Result<Sample> {
-        let status = Client::new(self.address, PATIENCE).ask("GET", "/v1/status", &[], b"")?;
+    /// Samples the daemon's memory: its accounts from the status page and its resident memory from the kernel.
+    pub fn sample(&self, started: Instant, phase: &str) -> io::Result<Sample> {
+        let status = Client::new(self.address, STATUS_TIMEOUT).ask("GET", "/v1/status", &[], b"")?;
         let status: Value = serde_json::from_slice(&status.body)?;
         let accounts = status["memory"]["accounts"].as_array().cloned().unwrap_or_default();
         let number = |account: &Value, key: &str| account[key].as_f64().unwrap_or_default();
@@ -110,32 +110,32 @@
             (name, Holding { used, peak, cap })
         };
         Ok(Sample {
-            at_s: began.elapsed().as_secs_f64(),
+            at_s: started.elapsed().as_secs_f64(),
             phase: phase.into(),
             resident: self.resident()?,
             accounts: accounts.iter().map(holding).collect::<BTreeMap<_, _>>(),
         })
     }
 
-    /// Resident memory in bytes.
+    /// Resident memory, in bytes.
     pub fn resident(&self) -> io::Result<f64> {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))?;
         let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
         let kib = line.and_then(|rest| rest.trim().trim_end_matches(" kB").parse::<f64>().ok());
-        kib.map(|kib| kib * 1024.0).ok_or_else(|| io::Error::other("no VmRSS"))
+        kib.map(|kib| kib * 1024.0).ok_or_else(|| io::Error::other("no VmRSS in the status of the process"))
     }
 }
 
 impl Drop for Daemon {
     fn drop(&mut self) {
-        // It may have ended by itself.
+        // Fails if the daemon has exited already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// The daemon that was built beside this program.
-pub fn beside() -> io::Result<PathBuf> {
+/// Path of the daemon's executable in the folder of this program.
+pub fn default_program() -> io::Result<PathBuf> {
     let program = std::env::current_exe()?.with_file_name("corkbay");
     match program.exists() {
         true => Ok(program),
--- a/crates/rig/src/fault_schedule.rs
+++ b/crates/rig/src/fault_schedule.rs
@@ -1,39 +1,39 @@
-//! How an emulated worker behaves over time: drawn from a seed, the same in every run.
+//! The behaviour of emulated workers over time, drawn from a seed and therefore the same in every run.
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
 
-/// How long a behaviour lasts before the next one is drawn.
+/// Time after which a worker's next behaviour is drawn.
 const PERIOD: Duration = Duration::from_secs(5);
 
-/// What a worker does with the calls of one period.
+/// How a worker treats its calls during one period.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Behaviour {
-    /// It serves.
+    /// Serves calls normally.
     Healthy,
-    /// It serves, slower by this factor.
+    /// Serves calls, slower by this factor.
     Slow(f64),
-    /// It runs the call and says nothing.
+    /// Runs the call and sends no answer.
     Silent,
-    /// It runs the call and breaks the connection.
+    /// Runs the call and closes the connection.
     ResettingConnection,
-    /// It runs the call and answers with bytes that are no response.
+    /// Runs the call and answers with bytes that are not a valid response.
     AnsweringGarbage,
-    /// It answers with an error.
+    /// Answers with an error.
     Failing,
 }
 
 /// Draws the behaviour of each worker in each period.
 #[derive(Clone, Copy, Debug)]
 pub struct FaultSchedule {
-    /// The seed of the random numbers.
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// The part of a worker's periods in which it is not healthy, from 0 to 1.
+    /// Fraction of the periods in which a worker is not healthy, from 0 to 1.
     pub fault_rate: f64,
 }
 
 impl FaultSchedule {
-    /// The behaviour of a worker at a time after the start.
+    /// Returns the behaviour of a worker at a time since the start.
     pub fn behaviour(&self, worker: usize, since_start: Duration) -> Behaviour {
         let period = since_start.as_millis() / PERIOD.as_millis();
         let mut rng = ChaCha8Rng::seed_from_u64(self.seed ^ ((worker as u64) << 32) ^ period as u64);
--- a/crates/rig/src/faults/client.rs
+++ b/crates/rig/src/faults/client.rs
@@ -1,4 +1,5 @@
-//! Clients of one daemon: each keeps a connection, sends at a steady rate, and at times takes back or leaves.
+//! Simulated clients of one daemon: each keeps a connection, sends at a steady rate, and sometimes cancels a request or
+//! closes the connection.
 use super::log::{draw, Log};
 use super::records::{Asked, At, CLASSES};
 use super::thrift::{cancel, dispatch, receive};
@@ -9,64 +10,65 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Requests open on a connection.
-const OPEN: usize = 24;
-/// Parts of the requests that are taken back, and with which their client closes its connection.
-const TAKEN_BACK_PART: f64 = 0.05;
-const LEAVES_PART: f64 = 0.01;
-/// The part of the calls that the hot function gets.
-const HOT_PART: f64 = 0.6;
-/// Keep draws of different things apart.
-const HOT_DRAW: u64 = 0x5eed_0001;
-const FUNCTION_DRAW: u64 = 0x5eed_0002;
-const RECONNECT: Duration = Duration::from_millis(50);
-/// How long what was asked in a crowd is waited for while its connection stays.
-const CROWD_STAYS: Duration = Duration::from_secs(2);
-
-/// Where and how clients ask.
+/// Most requests in flight on a connection.
+const MAX_IN_FLIGHT: usize = 24;
+/// Fraction of the requests that the client cancels.
+const CANCELLED_FRACTION: f64 = 0.05;
+/// Fraction of the requests after which the client closes its connection.
+const DISCONNECT_FRACTION: f64 = 0.01;
+/// Fraction of the requests that call the hot function.
+const HOT_FRACTION: f64 = 0.6;
+/// Salts that make the random draws independent of each other.
+const HOT_SALT: u64 = 0x5eed_0001;
+const FUNCTION_SALT: u64 = 0x5eed_0002;
+const RECONNECT_DELAY: Duration = Duration::from_millis(50);
+/// How long a one-shot client keeps its connection open after its request.
+const ONE_SHOT_LINGER: Duration = Duration::from_secs(2);
+
+/// The daemon that clients use, and how they use it.
 #[derive(Clone)]
 pub struct Target {
-    /// The daemon's number and address.
+    /// The daemon's number.
     pub daemon: usize,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
-    /// How long a client waits, in milliseconds.
+    /// How long a client waits for an answer, in milliseconds.
     pub allowed_ms: u64,
-    /// What draws follow from.
+    /// Seed of the random draws.
     pub seed: u64,
-    /// New connections may be made.
+    /// Whether clients may open new connections.
     pub is_open: Arc<AtomicBool>,
-    /// Clients go on.
+    /// Whether clients keep sending.
     pub is_running: Arc<AtomicBool>,
-    /// What they call.
+    /// The functions that they call.
     pub functions: FunctionMix,
 }
 
-/// Which functions are called how often.
+/// Distribution of the requests over the functions.
 #[derive(Clone)]
 pub struct FunctionMix {
-    /// How many there are.
+    /// Number of functions.
     pub count: u64,
-    /// Some are called far more often than others; else one after the other.
+    /// Whether some are called far more often than others; otherwise they are called in rotation.
     pub is_skewed: bool,
-    /// More than half of the calls are of one.
+    /// Whether the hot function gets [`HOT_FRACTION`] of the requests.
     pub is_hot: Arc<AtomicBool>,
 }
 
 impl FunctionMix {
-    /// All alike.
+    /// All functions are called equally often.
     pub fn even(count: u64) -> Self {
         FunctionMix { count, is_skewed: false, is_hot: Arc::default() }
     }
 
-    /// The function of a request.
+    /// Returns the function that a request calls.
     fn draw(&self, id: u64, seed: u64) -> u64 {
         let is_hot = self.is_hot.load(Ordering::Relaxed);
-        if is_hot && draw(seed ^ HOT_DRAW, id) < HOT_PART {
+        if is_hot && draw(seed ^ HOT_SALT, id) < HOT_FRACTION {
             return 1;
         }
         if self.is_skewed {
-            return ((self.count + 1) as f64).powf(draw(seed ^ FUNCTION_DRAW, id)) as u64;
+            return ((self.count + 1) as f64).powf(draw(seed ^ FUNCTION_SALT, id)) as u64;
         }
         id % self.count + 1
     }
@@ -74,67 +76,67 @@
 
 static NEXT_ID: AtomicU64 = AtomicU64::new(1);
 
-/// What is open on a connection.
+/// Requests in flight on a connection.
 #[derive(Default)]
-struct OpenRequests {
-    /// By sequence number: their places in the records.
-    places: HashMap<i32, usize>,
-    /// Its reader has seen its end.
-    is_over: bool,
+struct RequestsInFlight {
+    /// Index in `Records::asked` by sequence number.
+    indices: HashMap<i32, usize>,
+    /// Whether the reader has seen the end of the connection.
+    is_closed: bool,
 }
 
-type Open = Arc<Mutex<OpenRequests>>;
+type SharedRequests = Arc<Mutex<RequestsInFlight>>;
 
 struct Session<'a> {
     target: &'a Target,
     log: &'a Log,
     socket: TcpStream,
-    open: Open,
+    in_flight: SharedRequests,
     seqid: i32,
 }
 
-/// Sends so many requests a second on one connection after the other until the soak ends.
+/// Sends `rate` requests per second until the soak ends; reconnects when a connection ends.
 pub fn run(target: &Target, log: &Log, rate: f64) {
     let pause = Duration::from_secs_f64(1.0 / rate);
     while target.is_running.load(Ordering::Relaxed) {
-        let session = target.is_open.load(Ordering::Relaxed).then(|| Session::begin(target, log)).flatten();
+        let session = target.is_open.load(Ordering::Relaxed).then(|| Session::connect(target, log)).flatten();
         match session {
             Some(mut session) => session.send_all(pause),
-            None => std::thread::sleep(RECONNECT),
+            None => std::thread::sleep(RECONNECT_DELAY),
         }
     }
 }
 
-/// Asks once on a connection of its own and stays for a while.
-pub fn ask_once(target: &Target, log: &Log) {
-    let Some(mut session) = Session::begin(target, log) else { return };
-    let _ = session.ask();
-    std::thread::sleep(CROWD_STAYS);
+/// Sends one request on a new connection and keeps the connection open for a while.
+pub fn request_once(target: &Target, log: &Log) {
+    let Some(mut session) = Session::connect(target, log) else { return };
+    let _ = session.send_request();
+    std::thread::sleep(ONE_SHOT_LINGER);
 }
 
 impl<'a> Session<'a> {
-    fn begin(target: &'a Target, log: &'a Log) -> Option<Self> {
+    fn connect(target: &'a Target, log: &'a Log) -> Option<Self> {
         let socket = TcpStream::connect(target.address).ok()?;
         socket.set_nodelay(true).ok()?;
-        let (open, mut reader) = (Open::default(), socket.try_clone().ok()?);
-        let (ours, log_of_reader) = (open.clone(), log.clone());
+        let (in_flight, mut reader) = (SharedRequests::default(), socket.try_clone().ok()?);
+        let (shared, reader_log) = (in_flight.clone(), log.clone());
         std::thread::spawn(move || {
             while let Ok((seqid, end)) = receive(&mut reader) {
-                let place = lock(&ours).places.remove(&seqid);
-                let at = log_of_reader.now();
-                if let Some(place) = place {
-                    log_of_reader.records().asked[place].ends.push((end, at));
+                let index = lock(&shared).indices.remove(&seqid);
+                let at = reader_log.now();
+                if let Some(index) = index {
+                    reader_log.records().asked[index].ends.push((end, at));
                 }
             }
-            let at = log_of_reader.now();
-            let left = {
-                let mut open = lock(&ours);
-                open.is_over = true;
-                std::mem::take(&mut open.places)
+            let at = reader_log.now();
+            let unanswered = {
+                let mut in_flight = lock(&shared);
+                in_flight.is_closed = true;
+                std::mem::take(&mut in_flight.indices)
             };
-            left.into_values().for_each(|place| broken(&log_of_reader, place, at));
+            unanswered.into_values().for_each(|index| record_broken(&reader_log, index, at));
         });
-        Some(Session { target, log, socket, open, seqid: 0 })
+        Some(Session { target, log, socket, in_flight, seqid: 0 })
     }
 
     fn send_all(&mut self, pause: Duration) {
@@ -142,22 +144,22 @@
         while self.target.is_running.load(Ordering::Relaxed) {
             std::thread::sleep(next.saturating_duration_since(Instant::now()));
             next += pause;
-            if lock(&self.open).places.len() >= OPEN {
+            if lock(&self.in_flight).indices.len() >= MAX_IN_FLIGHT {
                 continue;
             }
-            let Some((place, id)) = self.ask() else { return };
-            let drawn = draw(self.target.seed, id);
-            if drawn < TAKEN_BACK_PART {
-                std::thread::sleep(Duration::from_secs_f64(drawn));
-                self.take_back(place);
-            } else if drawn > 1.0 - LEAVES_PART {
-                return self.leave();
+            let Some((index, id)) = self.send_request() else { return };
+            let sample = draw(self.target.seed, id);
+            if sample < CANCELLED_FRACTION {
+                std::thread::sleep(Duration::from_secs_f64(sample));
+                self.cancel_request(index);
+            } else if sample > 1.0 - DISCONNECT_FRACTION {
+                return self.disconnect();
             }
         }
     }
 
-    /// Sends a request; its place in the records and its id, or nothing where the connection has ended.
-    fn ask(&mut self) -> Option<(usize, u64)> {
+    /// Sends a request. Returns its index in the records and its id, or `None` if the connection has ended.
+    fn send_request(&mut self) -> Option<(usize, u64)> {
         self.seqid += 1;
         let id = NEXT_ID.fetch_add(1, Ordering::Relaxed);
         let class = (draw(id, self.target.seed) * CLASSES.len() as f64) as usize;
@@ -176,7 +178,7 @@
             ("info", "memory_mb:64;lanes:8"),
         ];
         let bytes = dispatch(self.seqid, &fields, b"x");
-        let place = {
+        let index = {
             let mut records = self.log.records();
             records.asked.push(Asked {
                 id,
@@ -190,57 +192,57 @@
             });
             records.asked.len() - 1
         };
-        lock(&self.open).places.insert(self.seqid, place);
+        lock(&self.in_flight).indices.insert(self.seqid, index);
         if self.socket.write_all(&bytes).is_err() {
-            // Nothing of it was taken: the client asks again elsewhere.
-            lock(&self.open).places.remove(&self.seqid);
+            // The daemon didn't get the whole request; a real client would send it to another daemon.
+            lock(&self.in_flight).indices.remove(&self.seqid);
             let at = self.log.now();
-            self.log.records().asked[place].gone_at = Some(at);
+            self.log.records().asked[index].gone_at = Some(at);
             return None;
         }
-        // A request's time counts from its last byte.
+        // The deadline counts from the last byte of the request.
         let at = self.log.now();
-        self.log.records().asked[place].at = at;
-        let is_late = {
-            let mut open = lock(&self.open);
-            open.is_over && open.places.remove(&self.seqid).is_some()
+        self.log.records().asked[index].at = at;
+        let is_unread = {
+            let mut in_flight = lock(&self.in_flight);
+            in_flight.is_closed && in_flight.indices.remove(&self.seqid).is_some()
         };
-        if is_late {
-            // Written to a connection that had ended.
-            broken(self.log, place, at);
+        if is_unread {
+            // The connection had ended before the request was written.
+            record_broken(self.log, index, at);
             return None;
         }
-        Some((place, id))
+        Some((index, id))
     }
 
-    fn take_back(&mut self, place: usize) {
-        if lock(&self.open).places.remove(&self.seqid).is_none() {
+    fn cancel_request(&mut self, index: usize) {
+        if lock(&self.in_flight).indices.remove(&self.seqid).is_none() {
             return;
         }
-        // Where the connection has ended its requests are asked again elsewhere.
+        // Fails if the connection has ended; a real client would send its requests to another daemon.
         let _ = self.socket.write_all(&cancel(self.seqid));
         let at = self.log.now();
-        self.log.records().asked[place].gone_at = Some(at);
+        self.log.records().asked[index].gone_at = Some(at);
     }
 
-    fn leave(&mut self) {
-        let left = std::mem::take(&mut lock(&self.open).places);
+    fn disconnect(&mut self) {
+        let unanswered = std::mem::take(&mut lock(&self.in_flight).indices);
         let at = self.log.now();
         let mut records = self.log.records();
-        left.into_values().for_each(|place| records.asked[place].gone_at = Some(at));
+        unanswered.into_values().for_each(|index| records.asked[index].gone_at = Some(at));
         drop(records);
         let _ = self.socket.shutdown(Shutdown::Both);
     }
 }
 
-/// The connection of a request has ended.
-fn broken(log: &Log, place: usize, at: At) {
-    let asked = &mut log.records().asked[place];
+/// Records that the connection of a request ended, unless the client abandoned the request before.
+fn record_broken(log: &Log, index: usize, at: At) {
+    let asked = &mut log.records().asked[index];
     if asked.gone_at.is_none() {
         asked.broken_at = Some(at);
     }
 }
 
-fn lock(open: &Open) -> std::sync::MutexGuard<'_, OpenRequests> {
-    open.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+fn lock(in_flight: &SharedRequests) -> std::sync::MutexGuard<'_, RequestsInFlight> {
+    in_flight.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
 }
--- a/crates/rig/src/faults/log.rs
+++ b/crates/rig/src/faults/log.rs
@@ -1,34 +1,34 @@
-//! What all parts of a soak write to.
+//! Shared recorder of a soak.
 use super::records::{At, Records};
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Instant;
 
-/// The records of a soak, with its clock.
+/// The records of a soak and its clock.
 #[derive(Clone)]
 pub struct Log {
-    began: Instant,
+    started: Instant,
     records: Arc<Mutex<Records>>,
 }
 
 impl Log {
-    /// A soak that begins now.
+    /// Starts the clock; `window` is the deduplication window of the keyed class, in milliseconds.
     pub fn new(window: At) -> Self {
         let records = Records { window, ..Records::default() };
-        Log { began: Instant::now(), records: Arc::new(Mutex::new(records)) }
+        Log { started: Instant::now(), records: Arc::new(Mutex::new(records)) }
     }
 
-    /// Milliseconds from its beginning.
+    /// Milliseconds since the start of the soak.
     pub fn now(&self) -> At {
-        self.began.elapsed().as_secs_f64() * 1000.0
+        self.started.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// The records.
+    /// Locks the records.
     pub fn records(&self) -> MutexGuard<'_, Records> {
         self.records.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 }
 
-/// A draw between 0 and 1 that follows from two numbers.
+/// Returns a pseudo-random number in [0, 1) determined by the two arguments (SplitMix64 finalizer).
 pub fn draw(seed: u64, number: u64) -> f64 {
     let mut mixed = seed ^ number.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/rig/src/faults/mod.rs
+++ b/crates/rig/src/faults/mod.rs
@@ -1,13 +1,13 @@
-//! A soak under faults on the platform's front: several daemons, stand-in clients, workers and command channels, and
-//! troubles drawn from a seed. The verdict comes from what clients and workers wrote down.
+//! A soak under injected faults on the Thrift front: several daemons with simulated clients, workers and command
+//! channels. The faults are drawn from a seed. The verdict is based on what the clients and workers recorded.
 //!
-//! | module | job |
+//! | module | purpose |
 //! | --- | --- |
-//! | `scenario` | what happens, from a seed |
-//! | `records`, `log` | what is written down |
-//! | `verdict` | the operators' rules on it |
-//! | `process` | a daemon with its faults |
-//! | `client`, `worker`, `channel`, `thrift` | its surroundings |
+//! | `scenario` | draws the parameters and faults of a run from a seed |
+//! | `records`, `log` | hold what clients and workers record |
+//! | `verdict` | checks the records against the operators' rules |
+//! | `process` | runs a daemon and injects faults into it |
+//! | `client`, `worker`, `channel`, `thrift` | simulate what a daemon talks to |
 pub(crate) mod channel;
 pub(crate) mod client;
 pub(crate) mod log;
@@ -24,7 +24,7 @@
 use process::Process;
 use records::{At, Drained, End, Records, CLASSES};
 use rustix::process::Signal;
-pub use scenario::{Scenario, Trouble};
+pub use scenario::{InjectedFault, Scenario};
 use std::io;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -33,48 +33,49 @@
 use verdict::{judge, Break};
 use worker::Worker;
 
-/// Functions that are called.
-const FUNCTIONS: u64 = 7;
-/// Clients of a daemon that stay.
-const CLIENTS: usize = 3;
-/// Connections a second of a crowd at each daemon.
-const CROWD_RATE: f64 = 40.0;
-/// SIGHUPs in a row, and the pause between two.
-const RELOADS: usize = 3;
+/// Number of functions that clients call.
+const FUNCTION_COUNT: u64 = 7;
+/// Long-running clients of each daemon.
+const CLIENTS_PER_DAEMON: usize = 3;
+/// One-shot clients that connect to each daemon per second.
+const ONE_SHOT_CLIENTS_PER_S: f64 = 40.0;
+/// SIGHUPs sent in a row by one reload fault.
+const RELOAD_COUNT: usize = 3;
+/// Time between two SIGHUPs of one reload fault.
 const RELOAD_PAUSE: Duration = Duration::from_millis(20);
-/// What is still owed at the end has its time and a little more.
-const LAST_ANSWERS: Duration = Duration::from_millis(1500);
-const LOOK: Duration = Duration::from_millis(50);
+/// Time beyond the client timeout for which the soak waits for the last answers.
+const FINAL_ANSWER_MARGIN: Duration = Duration::from_millis(1500);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Where the program and the library to preload stand, and where files go.
+/// Paths of the programs and files of a soak.
 #[derive(Clone, Debug)]
-pub struct Places {
-    /// The daemon's program.
+pub struct SoakPaths {
+    /// The daemon's executable.
     pub program: PathBuf,
-    /// `libcorkbay_shim.so`.
+    /// The preload library `libcorkbay_shim.so`.
     pub shim: PathBuf,
-    /// For configurations and logs.
+    /// Folder for configurations and logs.
     pub folder: PathBuf,
 }
 
-/// What came of a soak.
+/// Result of a soak.
 #[derive(Debug)]
 pub struct Outcome {
-    /// Requests that were asked.
+    /// Number of requests that clients sent.
     pub asked: usize,
-    /// Of these, the part that was served, by class.
+    /// Fraction of the requests served, by class, without those their clients abandoned.
     pub served: [f64; CLASSES.len()],
-    /// Requests that came to workers.
+    /// Number of requests that workers received.
     pub arrivals: usize,
-    /// Rules that were broken.
+    /// Violations of the rules.
     pub breaks: Vec<Break>,
-    /// The most resident bytes and descriptors of a daemon.
+    /// Largest resident memory (bytes) and number of open descriptors of any daemon.
     pub peaks: (u64, u64),
-    /// Whether all daemons kept to their limits.
+    /// Whether all daemons stayed within their limits.
     pub within_limits: bool,
 }
 
-struct Site {
+struct SoakRun {
     scenario: Scenario,
     log: Log,
     seed: u64,
@@ -83,31 +84,31 @@
     daemons: Vec<Arc<Process>>,
 }
 
-/// Plays the soak of a seed.
-pub fn play(scenario: Scenario, seed: u64, places: &Places) -> io::Result<Outcome> {
-    let site = Arc::new(Site::start(scenario, seed, places)?);
+/// Runs the soak of a scenario.
+pub fn run(scenario: Scenario, seed: u64, places: &SoakPaths) -> io::Result<Outcome> {
+    let soak = Arc::new(SoakRun::start(scenario, seed, places)?);
     let is_running = Arc::new(AtomicBool::new(true));
-    let clients = site.start_clients(&is_running);
-    let mut troubles = Vec::new();
-    let (began, mut events) = (Instant::now(), site.scenario.events.clone().into_iter().peekable());
-    while began.elapsed() < site.scenario.span {
-        while let Some(event) = events.next_if(|event| event.at <= began.elapsed()) {
-            let site = site.clone();
-            troubles.push(std::thread::spawn(move || site.trouble(event.daemon, event.trouble)));
+    let clients = soak.start_clients(&is_running);
+    let mut injections = Vec::new();
+    let (started, mut events) = (Instant::now(), soak.scenario.events.clone().into_iter().peekable());
+    while started.elapsed() < soak.scenario.span {
+        while let Some(event) = events.next_if(|event| event.at <= started.elapsed()) {
+            let soak = soak.clone();
+            injections.push(std::thread::spawn(move || soak.inject(event.daemon, event.fault)));
         }
-        site.daemons.iter().try_for_each(|daemon| daemon.look())?;
-        std::thread::sleep(LOOK);
+        soak.daemons.iter().try_for_each(|daemon| daemon.poll())?;
+        std::thread::sleep(POLL_INTERVAL);
     }
     is_running.store(false, Ordering::Relaxed);
-    for trouble in troubles {
-        trouble.join().map_err(|_| io::Error::other("a trouble panicked"))??;
+    for injection in injections {
+        injection.join().map_err(|_| io::Error::other("a fault injection thread panicked"))??;
     }
     clients.into_iter().for_each(|client| _ = client.join());
-    std::thread::sleep(Duration::from_millis(site.scenario.allowed_ms) + LAST_ANSWERS);
-    let now = site.log.now();
-    site.log.records().ended = now;
-    let records = site.log.records().clone();
-    Ok(outcome(&records, &site.daemons))
+    std::thread::sleep(Duration::from_millis(soak.scenario.allowed_ms) + FINAL_ANSWER_MARGIN);
+    let now = soak.log.now();
+    soak.log.records().ended = now;
+    let records = soak.log.records().clone();
+    Ok(outcome(&records, &soak.daemons))
 }
 
 fn outcome(records: &Records, daemons: &[Arc<Process>]) -> Outcome {
@@ -130,13 +131,13 @@
     }
 }
 
-impl Site {
-    fn start(scenario: Scenario, seed: u64, places: &Places) -> io::Result<Self> {
+impl SoakRun {
+    fn start(scenario: Scenario, seed: u64, places: &SoakPaths) -> io::Result<Self> {
         let log = Log::new(scenario.window_ms as At);
         let workers: Vec<Worker> = (0..scenario.workers)
             .map(|number| Worker::start(number, number % 2, seed, &log))
             .collect::<io::Result<_>>()?;
-        let list: Vec<_> = workers.iter().map(|worker| line(worker, "up", 0.0)).collect();
+        let list: Vec<_> = workers.iter().map(|worker| endpoint_entry(worker, "up", 0.0)).collect();
         let channels: Vec<Channel> =
             (0..scenario.daemons).map(|_| Channel::start(&list)).collect::<io::Result<_>>()?;
         let files = (places.program.as_path(), places.shim.as_path(), places.folder.as_path());
@@ -144,7 +145,7 @@
         let daemons = daemons
             .map(|(number, channel)| Process::start(number, &scenario, channel, files, &log).map(Arc::new));
         let daemons = daemons.collect::<io::Result<_>>()?;
-        Ok(Site { scenario, log, seed, workers: Mutex::new(workers), channels, daemons })
+        Ok(SoakRun { scenario, log, seed, workers: Mutex::new(workers), channels, daemons })
     }
 
     fn start_clients(&self, is_running: &Arc<AtomicBool>) -> Vec<std::thread::JoinHandle<()>> {
@@ -157,54 +158,55 @@
                 seed: self.seed,
                 is_open: daemon.is_open.clone(),
                 is_running: is_running.clone(),
-                functions: FunctionMix::even(FUNCTIONS),
+                functions: FunctionMix::even(FUNCTION_COUNT),
             };
-            let rate = self.scenario.rate / CLIENTS as f64;
-            for _ in 0..CLIENTS {
+            let rate = self.scenario.rate / CLIENTS_PER_DAEMON as f64;
+            for _ in 0..CLIENTS_PER_DAEMON {
                 let (target, log) = (target.clone(), self.log.clone());
                 clients.push(std::thread::spawn(move || client::run(&target, &log, rate)));
             }
-            if self.scenario.has_crowd {
+            if self.scenario.has_one_shot_clients {
                 let log = self.log.clone();
-                clients.push(std::thread::spawn(move || crowd(&target, &log)));
+                clients.push(std::thread::spawn(move || run_one_shot_clients(&target, &log)));
             }
         }
         clients
     }
 
-    fn trouble(&self, daemon: usize, trouble: Trouble) -> io::Result<()> {
+    fn inject(&self, daemon: usize, fault: InjectedFault) -> io::Result<()> {
         let daemon = &self.daemons[daemon];
-        let worker = |place: usize| self.workers()[place].clone();
-        match trouble {
-            Trouble::Terminate => daemon.terminate()?,
-            Trouble::Kill => daemon.kill()?,
-            Trouble::Reload => {
-                for _ in 0..RELOADS {
+        let worker = |index: usize| self.workers()[index].clone();
+        match fault {
+            InjectedFault::Terminate => daemon.terminate()?,
+            InjectedFault::Kill => daemon.kill()?,
+            InjectedFault::Reload => {
+                for _ in 0..RELOAD_COUNT {
                     daemon.signal(Signal::HUP);
                     std::thread::sleep(RELOAD_PAUSE);
                 }
             }
-            Trouble::Pause(ms) => daemon.pause(Duration::from_millis(ms)),
-            Trouble::StepClock(seconds) => daemon.step_clock(seconds)?,
-            Trouble::FailCalls(fault, period) => daemon.fail_calls(fault, period)?,
-            Trouble::WorkerBreaks(place) => worker(place).break_all(),
-            Trouble::WorkerSilent(place, ms) => worker(place).silence(Duration::from_millis(ms)),
-            Trouble::WorkerReplaced(place) => self.replace_worker(place)?,
+            InjectedFault::Pause(ms) => daemon.pause(Duration::from_millis(ms)),
+            InjectedFault::StepClock(seconds) => daemon.step_clock(seconds)?,
+            InjectedFault::FailCalls(number, period) => daemon.fail_calls(number, period)?,
+            InjectedFault::WorkerClosesConnections(index) => worker(index).close_connections(),
+            InjectedFault::WorkerSilent(index, ms) => worker(index).stop_answering(Duration::from_millis(ms)),
+            InjectedFault::WorkerReplaced(index) => self.replace_worker(index)?,
         }
         Ok(())
     }
 
-    /// A worker drains, and another comes that has just started.
-    fn replace_worker(&self, place: usize) -> io::Result<()> {
-        let (old, fresh) = {
+    /// Drains a worker and starts another in its place.
+    fn replace_worker(&self, index: usize) -> io::Result<()> {
+        let (old, replacement) = {
             let mut workers = self.workers();
             let number = workers.iter().map(|worker| worker.number).max().unwrap_or(0) + 1;
-            let fresh = Worker::start(number, workers[place].rack, self.seed, &self.log)?;
-            (std::mem::replace(&mut workers[place], fresh.clone()), fresh)
+            let replacement = Worker::start(number, workers[index].rack, self.seed, &self.log)?;
+            (std::mem::replace(&mut workers[index], replacement.clone()), replacement)
         };
         let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64() * 1000.0;
         for (daemon, channel) in self.channels.iter().enumerate() {
-            channel.change(&[line(&old, "draining", 0.0), line(&fresh, "up", since)]);
+            channel
+                .change(&[endpoint_entry(&old, "draining", 0.0), endpoint_entry(&replacement, "up", since)]);
             let told_at = self.log.now();
             self.log.records().drained.push(Drained { worker: old.number, daemon, told_at });
         }
@@ -216,19 +218,19 @@
     }
 }
 
-fn line(worker: &Worker, status: &str, since_ms: f64) -> serde_json::Value {
+fn endpoint_entry(worker: &Worker, status: &str, since_ms: f64) -> serde_json::Value {
     endpoint(&format!("w{}", worker.number), worker.address, worker.rack, status, since_ms)
 }
 
-/// Clients that ask once and stay, one after the other.
-fn crowd(target: &Target, log: &Log) {
-    let mut newcomers = Vec::new();
+/// Starts clients at a steady rate; each sends one request and keeps its connection open for a while.
+fn run_one_shot_clients(target: &Target, log: &Log) {
+    let mut clients = Vec::new();
     while target.is_running.load(Ordering::Relaxed) {
-        std::thread::sleep(Duration::from_secs_f64(1.0 / CROWD_RATE));
+        std::thread::sleep(Duration::from_secs_f64(1.0 / ONE_SHOT_CLIENTS_PER_S));
         if target.is_open.load(Ordering::Relaxed) {
             let (target, log) = (target.clone(), log.clone());
-            newcomers.push(std::thread::spawn(move || client::ask_once(&target, &log)));
+            clients.push(std::thread::spawn(move || client::request_once(&target, &log)));
         }
     }
-    newcomers.into_iter().for_each(|newcomer| _ = newcomer.join());
+    clients.into_iter().for_each(|client| _ = client.join());
 }
--- a/crates/rig/src/faults/process.rs
+++ b/crates/rig/src/faults/process.rs
@@ -1,8 +1,8 @@
-//! One daemon on the platform's front, with its faults, over as many processes as it takes.
+//! A daemon on the Thrift front with fault injection; a new process replaces each one that ends.
 use super::channel::Channel;
 use super::log::Log;
 use super::records::{At, Span};
-use super::scenario::{soft_fault, Scenario};
+use super::scenario::{syscall_fault, Scenario};
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::json;
 use std::fs::{File, OpenOptions};
@@ -15,61 +15,63 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// The words of the control file, as `corkbay-shim` documents them.
-const PAGE: u64 = 4096;
-const WORD: u64 = 8;
-const FIRST_FAULT: u64 = 8;
+/// Size of the control file; its layout is documented in `corkbay-shim`.
+const CONTROL_FILE_BYTES: u64 = 4096;
+const WORD_BYTES: u64 = 8;
+const FIRST_FAULT_WORD: u64 = 8;
 const WORDS_PER_FAULT: u64 = 4;
-/// Failures of one fault at most.
-const MOST_FAILURES: u64 = 50;
-/// What the configuration allows.
+/// Most failures that one system call fault causes.
+const MAX_FAILURES_PER_FAULT: u64 = 50;
+/// Limits in the configuration of a daemon.
 const MEMORY_MB: u64 = 64;
-const DESCRIPTORS: u64 = 512;
-/// SIGKILL comes the longest deadline, counted as so much at most, and this much more after SIGTERM.
-const LONGEST_COUNTED: Duration = Duration::from_secs(3);
+const MAX_DESCRIPTORS: u64 = 512;
+/// SIGKILL follows SIGTERM after the client timeout, capped at this, plus [`KILL_MARGIN`].
+const MAX_DRAIN_WAIT: Duration = Duration::from_secs(3);
+/// Time added to the client timeout before SIGKILL.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
-/// New connections keep coming for so long behind SIGTERM.
-const STILL_COMING: Duration = Duration::from_millis(300);
-const READY_WITHIN: Duration = Duration::from_secs(10);
+/// How long clients still open new connections after SIGTERM.
+const CONNECTIONS_AFTER_TERM: Duration = Duration::from_millis(300);
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A daemon that is restarted whenever it ends.
 pub struct Process {
-    /// Its number.
+    /// The daemon's number.
     pub number: usize,
-    /// Where it listens, whichever process serves.
+    /// The address on which it listens; all its processes use the same one.
     pub address: SocketAddr,
-    /// New connections may be made.
+    /// Whether clients may open new connections.
     pub is_open: Arc<AtomicBool>,
     folder: PathBuf,
     program: PathBuf,
     shim: PathBuf,
     control: File,
-    longest: Duration,
+    drain_wait: Duration,
     log: Log,
     channel: Channel,
     config: serde_json::Value,
-    /// Held by whoever ends it.
+    /// Locked by the fault that signals or restarts the process; other faults skip it meanwhile.
     child: Mutex<Child>,
     peaks: Mutex<Peaks>,
 }
 
-/// The most that was seen of a daemon.
+/// Peak resource usage of a daemon.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Peaks {
-    /// Resident bytes.
+    /// Resident memory, in bytes.
     pub resident: u64,
-    /// Open descriptors.
+    /// Number of open descriptors.
     pub descriptors: u64,
 }
 
 impl Peaks {
-    /// Whether it kept to what its configuration allows.
+    /// Whether the usage stayed within the configured limits.
     pub fn are_within_limits(&self) -> bool {
-        self.resident <= MEMORY_MB << 20 && self.descriptors <= DESCRIPTORS
+        self.resident <= MEMORY_MB << 20 && self.descriptors <= MAX_DESCRIPTORS
     }
 }
 
-/// An address where nothing listens yet. It is no other's on loopback, so that nobody takes it while no process serves.
+/// Returns a free address. Its loopback IP is used by nothing else, so that no other program can bind the port while the
+/// daemon restarts.
 fn free_address(number: usize) -> io::Result<SocketAddr> {
     let process = std::process::id();
     let own = Ipv4Addr::new(127, 60 + (number % 100) as u8, (process >> 8) as u8, (process as u8).max(1));
@@ -77,7 +79,7 @@
 }
 
 impl Process {
-    /// Starts it and waits until it listens.
+    /// Starts the daemon and waits until it listens.
     pub fn start(
         number: usize,
         scenario: &Scenario,
@@ -93,7 +95,7 @@
             .create(true)
             .truncate(true)
             .open(folder.join("control"))?;
-        control.set_len(PAGE)?;
+        control.set_len(CONTROL_FILE_BYTES)?;
         let config = configuration(number, scenario, channel);
         write_config(&folder, &config, channel)?;
         let address = free_address(number)?;
@@ -106,7 +108,7 @@
             program: program.to_path_buf(),
             shim: shim.to_path_buf(),
             control,
-            longest: Duration::from_millis(scenario.allowed_ms).min(LONGEST_COUNTED),
+            drain_wait: Duration::from_millis(scenario.allowed_ms).min(MAX_DRAIN_WAIT),
             log: log.clone(),
             channel: channel.clone(),
             config,
@@ -118,80 +120,83 @@
     }
 
     fn wait_until_ready(&self) -> io::Result<()> {
-        let began = Instant::now();
+        let started = Instant::now();
         while std::net::TcpStream::connect(self.address).is_err() {
-            if began.elapsed() > READY_WITHIN {
-                return Err(io::Error::other(format!("daemon {} is not ready", self.number)));
+            if started.elapsed() > READY_TIMEOUT {
+                return Err(io::Error::other(format!(
+                    "daemon {} did not start listening in time",
+                    self.number
+                )));
             }
             std::thread::sleep(Duration::from_millis(5));
         }
         Ok(())
     }
 
-    fn set(&self, word: u64, value: u64) -> io::Result<()> {
-        self.control.write_all_at(&value.to_ne_bytes(), word * WORD)
+    fn write_control_word(&self, word: u64, value: u64) -> io::Result<()> {
+        self.control.write_all_at(&value.to_ne_bytes(), word * WORD_BYTES)
     }
 
-    /// Steps its wall clock by so many seconds.
+    /// Steps the daemon's wall clock by this many seconds.
     pub fn step_clock(&self, seconds: f64) -> io::Result<()> {
-        let mut bytes = [0; WORD as usize];
+        let mut bytes = [0; WORD_BYTES as usize];
         self.control.read_exact_at(&mut bytes, 0)?;
-        self.set(0, (i64::from_ne_bytes(bytes) + (seconds * 1e9) as i64) as u64)
+        self.write_control_word(0, (i64::from_ne_bytes(bytes) + (seconds * 1e9) as i64) as u64)
     }
 
-    /// Has each so many-th call of a kind fail for a while.
+    /// Fails every `period`-th system call of a kind, up to [`MAX_FAILURES_PER_FAULT`] times.
     pub fn fail_calls(&self, fault: usize, period: u64) -> io::Result<()> {
-        let (call, error, _) = soft_fault(fault);
-        let first = FIRST_FAULT + call * WORDS_PER_FAULT;
-        self.set(first + 1, error)?;
-        self.set(first + 2, MOST_FAILURES)?;
-        self.set(first, period)
+        let (call, error, _) = syscall_fault(fault);
+        let first = FIRST_FAULT_WORD + call * WORDS_PER_FAULT;
+        self.write_control_word(first + 1, error)?;
+        self.write_control_word(first + 2, MAX_FAILURES_PER_FAULT)?;
+        self.write_control_word(first, period)
     }
 
-    /// Signals it, unless it is just being ended.
+    /// Sends a signal, unless another fault is being injected.
     pub fn signal(&self, signal: Signal) {
         if let Ok(child) = self.child.try_lock() {
-            send(&child, signal);
+            send_signal(&child, signal);
         }
     }
 
-    /// Stops it for that long.
+    /// Stops the process for this time.
     pub fn pause(&self, span: Duration) {
         let Ok(child) = self.child.try_lock() else { return };
         let from = self.log.now();
-        send(&child, Signal::STOP);
+        send_signal(&child, Signal::STOP);
         std::thread::sleep(span);
-        send(&child, Signal::CONT);
+        send_signal(&child, Signal::CONT);
         self.log.records().paused.push(Span { daemon: self.number, from, to: self.log.now() });
     }
 
-    /// SIGTERM, SIGKILL as early as it may come, and a new process.
+    /// Sends SIGTERM, then SIGKILL at the earliest time the platform may send it, and starts a new process.
     pub fn terminate(&self) -> io::Result<()> {
         let Ok(mut child) = self.child.try_lock() else { return Ok(()) };
-        let began = Instant::now();
-        send(&child, Signal::TERM);
-        std::thread::sleep(STILL_COMING);
+        let started = Instant::now();
+        send_signal(&child, Signal::TERM);
+        std::thread::sleep(CONNECTIONS_AFTER_TERM);
         self.is_open.store(false, Ordering::Relaxed);
-        while began.elapsed() < self.longest + KILL_MARGIN && child.try_wait()?.is_none() {
+        while started.elapsed() < self.drain_wait + KILL_MARGIN && child.try_wait()?.is_none() {
             std::thread::sleep(Duration::from_millis(2));
         }
         child.kill()?;
-        self.replace(&mut child)
+        self.restart(&mut child)
     }
 
-    /// SIGKILL, and a new process.
+    /// Sends SIGKILL and starts a new process.
     pub fn kill(&self) -> io::Result<()> {
         let Ok(mut child) = self.child.try_lock() else { return Ok(()) };
         let at = self.log.now();
         child.kill()?;
         self.log.records().killed.push((self.number, at));
         self.is_open.store(false, Ordering::Relaxed);
-        self.replace(&mut child)
+        self.restart(&mut child)
     }
 
-    fn replace(&self, child: &mut Child) -> io::Result<()> {
+    fn restart(&self, child: &mut Child) -> io::Result<()> {
         child.wait()?;
-        // A new process is given what the channel has told by now.
+        // The new process gets all events so far in its configuration.
         write_config(&self.folder, &self.config, &self.channel)?;
         *child = spawn(&self.program, &self.shim, &self.folder, self.address)?;
         self.wait_until_ready()?;
@@ -199,13 +204,13 @@
         Ok(())
     }
 
-    /// Notes what it takes, and whether it has ended by itself; it is started anew then.
-    pub fn look(&self) -> io::Result<()> {
+    /// Records resource usage. If the process has ended by itself, records a crash and restarts it.
+    pub fn poll(&self) -> io::Result<()> {
         let Ok(mut child) = self.child.try_lock() else { return Ok(()) };
         if child.try_wait()?.is_some() {
             let at: At = self.log.now();
             self.log.records().crashed.push((self.number, at));
-            return self.replace(&mut child);
+            return self.restart(&mut child);
         }
         let pid = child.id();
         let descriptors = std::fs::read_dir(format!("/proc/{pid}/fd")).map_or(0, Iterator::count) as u64;
@@ -217,7 +222,7 @@
         Ok(())
     }
 
-    /// The most that was seen of it.
+    /// Peak resource usage so far.
     pub fn peaks(&self) -> Peaks {
         *self.peaks.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
@@ -231,9 +236,9 @@
     }
 }
 
-fn send(child: &Child, signal: Signal) {
+fn send_signal(child: &Child, signal: Signal) {
     if let Some(pid) = i32::try_from(child.id()).ok().and_then(Pid::from_raw) {
-        // It may have ended.
+        // Fails if the process has ended already.
         let _ = kill_process(pid, signal);
     }
 }
@@ -267,12 +272,13 @@
                                    "placementCalls": false, "ramMbByKind": [10000.0]});
     json!({
         "name": format!("n{number}"), "listen": "127.0.0.1:1", "seed": format!("{number:016x}"),
-        "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": DESCRIPTORS},
+        "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": MAX_DESCRIPTORS},
         "channel": channel.address.to_string(), "known": channel.known(), "settings": settings
     })
 }
 
-/// The platform's settings that all days share: how long clients wait and the window of the keyed class, in milliseconds.
+/// Platform settings shared by the fault soak and the growth runs. `allowed_ms` is the client timeout, `window_ms` the
+/// deduplication window of the keyed class.
 pub(crate) fn settings(allowed_ms: u64, window_ms: u64) -> serde_json::Value {
     let (allowed, window) = (allowed_ms as f64, window_ms as f64);
     let class = |name: &str, effect: &str| {
--- a/crates/rig/src/faults/records.rs
+++ b/crates/rig/src/faults/records.rs
@@ -1,110 +1,110 @@
-//! What clients and workers write down during a soak. Times are milliseconds from its beginning.
+//! What clients and workers record during a soak. Times are in milliseconds since its start.
 
-/// Milliseconds from the beginning of a soak.
+/// A time in milliseconds since the start of a soak, or a duration in milliseconds.
 pub type At = f64;
 
-/// What a repeat of a request of a class does.
+/// The effect of repeating a request of a class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Nothing.
+    /// A repeat has no effect.
     Repeatable,
-    /// The workers of the first one's rack drop it within the window.
+    /// Workers in the cell of the first attempt drop repeats within the deduplication window.
     Keyed,
-    /// Harm.
+    /// A repeat does harm.
     Once,
 }
 
-/// The classes of a soak, in the order of their names.
+/// Name and repeat effect of each class of a soak.
 pub const CLASSES: [(&str, Effect); 3] =
     [("check", Effect::Repeatable), ("post", Effect::Keyed), ("once", Effect::Once)];
 
-/// How a request ended for its client.
+/// The outcome of a request as its client sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// With a worker's answer.
+    /// The client got a worker's answer.
     Served,
-    /// Trying again is harmless.
+    /// The request was refused and is safe to retry.
     Refused,
-    /// With an error.
+    /// The client got an error.
     Failed,
 }
 
-/// A request as its client knows it.
+/// A request as its client recorded it.
 #[derive(Clone, Debug)]
 pub struct Asked {
-    /// Its id.
+    /// Request id.
     pub id: u64,
-    /// Its place in [`CLASSES`].
+    /// Index of the class in [`CLASSES`].
     pub class: usize,
-    /// Which daemon it went to.
+    /// The daemon that the client sent it to.
     pub daemon: usize,
     /// When its last byte was written.
     pub at: At,
-    /// How long its client waits.
+    /// How long the client waits, in milliseconds.
     pub allowed: At,
-    /// When its client took it back or closed the connection.
+    /// When the client cancelled it or closed the connection.
     pub gone_at: Option<At>,
-    /// Its ends; more than one is a break.
+    /// The answers; more than one violates the rules.
     pub ends: Vec<(End, At)>,
-    /// When its connection ended, if it did so before the client left.
+    /// When the connection ended, unless the client cancelled or closed it first.
     pub broken_at: Option<At>,
 }
 
-/// A request as a worker got it.
+/// A request as a worker received it.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// Its id.
+    /// Request id.
     pub id: u64,
     /// The worker.
     pub worker: usize,
-    /// The worker's rack.
+    /// The worker's cell.
     pub rack: usize,
-    /// When it had come whole.
+    /// When the worker had received the whole request.
     pub at: At,
-    /// The time that it was told to have left.
+    /// The remaining time stated in the request, in milliseconds.
     pub left: At,
-    /// Whether it was carried out.
+    /// Whether the worker ran it.
     pub ran: bool,
 }
 
-/// A span of time of one daemon.
+/// A time span that concerns one daemon.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Span {
-    /// Which daemon.
+    /// The daemon.
     pub daemon: usize,
-    /// Its beginning.
+    /// Start of the span.
     pub from: At,
-    /// Its end.
+    /// End of the span.
     pub to: At,
 }
 
-/// A worker that was said to take no more work.
+/// The moment at which a daemon was notified that a worker drains.
 #[derive(Clone, Copy, Debug)]
 pub struct Drained {
     /// The worker.
     pub worker: usize,
-    /// The daemon that was told.
+    /// The daemon that was notified.
     pub daemon: usize,
-    /// When.
+    /// When the daemon was notified.
     pub told_at: At,
 }
 
-/// All of it.
+/// Everything recorded in a soak.
 #[derive(Clone, Debug, Default)]
 pub struct Records {
-    /// By clients.
+    /// Requests, recorded by clients.
     pub asked: Vec<Asked>,
-    /// By workers.
+    /// Requests, recorded by workers.
     pub arrivals: Vec<Arrival>,
-    /// When daemons stood still.
+    /// When daemons were stopped with SIGSTOP.
     pub paused: Vec<Span>,
-    /// Daemons that were killed without a word.
+    /// Daemons that were killed without SIGTERM first, and when.
     pub killed: Vec<(usize, At)>,
-    /// Daemons that ended though nobody asked them to.
+    /// Daemons that exited by themselves, and when.
     pub crashed: Vec<(usize, At)>,
-    /// Workers that were said to take no more work.
+    /// Drain notifications.
     pub drained: Vec<Drained>,
-    /// The window of the keyed class.
+    /// Deduplication window of the keyed class, in milliseconds.
     pub window: At,
     /// When the soak ended.
     pub ended: At,
--- a/crates/rig/src/faults/scenario.rs
+++ b/crates/rig/src/faults/scenario.rs
@@ -1,14 +1,14 @@
-//! What a soak does, all of it drawn from one seed.
+//! Parameters and fault schedule of a soak, drawn from one seed.
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
 
-/// Steps of the wall clock, in seconds.
-const STEPS: [f64; 6] = [2.0, -2.0, 30.0, -30.0, 3600.0, -3600.0];
+/// Steps by which the wall clock is moved, in seconds.
+const CLOCK_STEPS_S: [f64; 6] = [2.0, -2.0, 30.0, -30.0, 3600.0, -3600.0];
 
-/// A call of the system that fails now and then in a way that breaks no connection: its number among the calls of
-/// `corkbay-shim`, and an error of Linux's, or 0 for half of the bytes.
-const SOFT_FAULTS: [(u64, u64, &str); 10] = [
+/// Occasional system call failures that don't break a connection: the number of the call in `corkbay_shim::Call`, the
+/// Linux error number (0 transfers half of the bytes instead), and a name.
+const SYSCALL_FAULTS: [(u64, u64, &str); 10] = [
     (0, 103, "accept4 ECONNABORTED"),
     (0, 24, "accept4 EMFILE"),
     (0, 105, "accept4 ENOBUFS"),
@@ -21,63 +21,63 @@
     (5, 4, "epoll_wait EINTR"),
 ];
 
-/// Something that goes wrong.
+/// A fault that the soak injects.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Trouble {
-    /// SIGTERM, and SIGKILL as early as the page allows it; a new process after that.
+pub enum InjectedFault {
+    /// SIGTERM, SIGKILL at the earliest time the platform may send it, then a new process.
     Terminate,
-    /// SIGKILL, and a new process.
+    /// SIGKILL, then a new process.
     Kill,
     /// SIGHUP several times in a row.
     Reload,
-    /// SIGSTOP for so many milliseconds.
+    /// SIGSTOP, then SIGCONT after this many milliseconds.
     Pause(u64),
-    /// The wall clock is stepped by so many seconds.
+    /// Steps the wall clock by this many seconds.
     StepClock(f64),
-    /// Each so many-th call fails: the place in the list of faults, the period.
+    /// Fails every n-th system call of a kind: the number of the fault for [`syscall_fault`], and n.
     FailCalls(usize, u64),
-    /// A worker breaks all its connections.
-    WorkerBreaks(usize),
-    /// A worker answers nothing for so many milliseconds.
+    /// A worker closes all its connections.
+    WorkerClosesConnections(usize),
+    /// A worker sends no answers for this many milliseconds.
     WorkerSilent(usize, u64),
-    /// A worker drains and another takes its place, cold.
+    /// A worker drains and a new, cold one replaces it.
     WorkerReplaced(usize),
 }
 
-/// A trouble with its time and its daemon.
+/// A fault with its time and the daemon it applies to.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Event {
-    /// From the beginning.
+    /// Time from the start of the soak.
     pub at: Duration,
-    /// Which daemon, where it is about one.
+    /// The daemon, for faults that apply to one.
     pub daemon: usize,
-    /// What.
-    pub trouble: Trouble,
+    /// The fault to inject.
+    pub fault: InjectedFault,
 }
 
-/// A soak.
+/// The parameters and faults of a soak.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// Daemons.
+    /// Number of daemons.
     pub daemons: usize,
-    /// Workers at a time.
+    /// Number of workers at any one time.
     pub workers: usize,
-    /// How long clients wait, in milliseconds; also the classes' longest time.
+    /// How long clients wait for an answer, in milliseconds; also the `giveUpMs` setting of each class.
     pub allowed_ms: u64,
-    /// The window of the keyed class, in milliseconds.
+    /// Deduplication window of the keyed class, in milliseconds.
     pub window_ms: u64,
-    /// Requests a second of each daemon.
+    /// Requests per second to each daemon.
     pub rate: f64,
-    /// A crowd of connections that ask once and stay.
-    pub has_crowd: bool,
-    /// How long clients send.
+    /// Whether there are also clients that send one request and keep their connection open.
+    pub has_one_shot_clients: bool,
+    /// How long clients send requests.
     pub span: Duration,
-    /// In the order of time.
+    /// Faults to inject, ordered by time.
     pub events: Vec<Event>,
 }
 
 impl Scenario {
-    /// The soak of a seed that takes about so long.
+    /// Draws a scenario whose clients send requests for `span`.
     pub fn draw(seed: u64, span: Duration) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let daemons = rng.random_range(2..=4);
@@ -87,7 +87,7 @@
             .map(|_| Event {
                 at: span.mul_f64(rng.random_range(0.05..0.85)),
                 daemon: rng.random_range(0..daemons),
-                trouble: Self::trouble(&mut rng, workers),
+                fault: Self::draw_fault(&mut rng, workers),
             })
             .collect();
         events.sort_by_key(|event| event.at);
@@ -97,28 +97,30 @@
             allowed_ms: [400, 900, 1500, 2500][rng.random_range(0..4)],
             window_ms: [300, 700, 3000][rng.random_range(0..3)],
             rate: rng.random_range(20.0..60.0),
-            has_crowd: rng.random_bool(0.25),
+            has_one_shot_clients: rng.random_bool(0.25),
             span,
             events,
         }
     }
 
-    fn trouble(rng: &mut ChaCha8Rng, workers: usize) -> Trouble {
+    fn draw_fault(rng: &mut ChaCha8Rng, workers: usize) -> InjectedFault {
         match rng.random_range(0..13) {
-            0 | 1 => Trouble::Terminate,
-            2 => Trouble::Kill,
-            3 => Trouble::Reload,
-            4 => Trouble::Pause(rng.random_range(50..600)),
-            5..=7 => Trouble::StepClock(STEPS[rng.random_range(0..STEPS.len())]),
-            8 | 9 => Trouble::FailCalls(rng.random_range(0..SOFT_FAULTS.len()), rng.random_range(2..6)),
-            10 => Trouble::WorkerBreaks(rng.random_range(0..workers)),
-            11 => Trouble::WorkerSilent(rng.random_range(0..workers), rng.random_range(200..1500)),
-            _ => Trouble::WorkerReplaced(rng.random_range(0..workers)),
+            0 | 1 => InjectedFault::Terminate,
+            2 => InjectedFault::Kill,
+            3 => InjectedFault::Reload,
+            4 => InjectedFault::Pause(rng.random_range(50..600)),
+            5..=7 => InjectedFault::StepClock(CLOCK_STEPS_S[rng.random_range(0..CLOCK_STEPS_S.len())]),
+            8 | 9 => {
+                InjectedFault::FailCalls(rng.random_range(0..SYSCALL_FAULTS.len()), rng.random_range(2..6))
+            }
+            10 => InjectedFault::WorkerClosesConnections(rng.random_range(0..workers)),
+            11 => InjectedFault::WorkerSilent(rng.random_range(0..workers), rng.random_range(200..1500)),
+            _ => InjectedFault::WorkerReplaced(rng.random_range(0..workers)),
         }
     }
 }
 
-/// The call, the error and the name of a fault.
-pub fn soft_fault(number: usize) -> (u64, u64, &'static str) {
-    SOFT_FAULTS[number % SOFT_FAULTS.len()]
+/// Returns the call number, the error number and the name of a system call fault.
+pub fn syscall_fault(number: usize) -> (u64, u64, &'static str) {
+    SYSCALL_FAULTS[number % SYSCALL_FAULTS.len()]
 }
--- a/crates/rig/src/faults/thrift.rs
+++ b/crates/rig/src/faults/thrift.rs
@@ -1,47 +1,50 @@
-//! The platform's Thrift messages as a client writes and reads them, apart from the daemon's own codec.
+//! Encodes and decodes the platform's Thrift messages for a client, independently of the daemon's own codec.
 use super::records::End;
 use std::io::{self, Read};
 
-fn text(bytes: &[u8]) -> Vec<u8> {
+fn length_prefixed(bytes: &[u8]) -> Vec<u8> {
     [&(bytes.len() as u32).to_be_bytes(), bytes].concat()
 }
 
 fn message(kind: u8, method: &str, seqid: i32, arguments: &[u8]) -> Vec<u8> {
-    let head = [&[0x80, 1, 0, kind][..], &text(method.as_bytes()), &seqid.to_be_bytes(), arguments].concat();
-    text(&head)
+    let head =
+        [&[0x80, 1, 0, kind][..], &length_prefixed(method.as_bytes()), &seqid.to_be_bytes(), arguments]
+            .concat();
+    length_prefixed(&head)
 }
 
-/// A request.
+/// Encodes a request.
 pub fn dispatch(seqid: i32, fields: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let mut arguments = vec![13, 0, 1, 11, 11];
     arguments.extend((fields.len() as u32).to_be_bytes());
     for (name, value) in fields {
-        arguments.extend([text(name.as_bytes()), text(value.as_bytes())].concat());
+        arguments.extend([length_prefixed(name.as_bytes()), length_prefixed(value.as_bytes())].concat());
     }
-    arguments.extend([&[11, 0, 2][..], &text(body), &[0]].concat());
+    arguments.extend([&[11, 0, 2][..], &length_prefixed(body), &[0]].concat());
     message(1, "dispatch", seqid, &arguments)
 }
 
-/// Takes a request back.
+/// Encodes the cancellation of a request.
 pub fn cancel(seqid: i32) -> Vec<u8> {
     message(4, "cancelRequest", 0, &[&[8, 0, 1][..], &seqid.to_be_bytes(), &[0]].concat())
 }
 
-/// The next reply: which request ended, and how.
+/// Reads the next reply. Returns the sequence number of its request and the outcome.
 pub fn receive(socket: &mut impl Read) -> io::Result<(i32, End)> {
     let mut size = [0; 4];
     socket.read_exact(&mut size)?;
     let mut bytes = vec![0; u32::from_be_bytes(size) as usize];
     socket.read_exact(&mut bytes)?;
-    let odd = || io::Error::other("a reply that can't be read");
-    let word = |at: usize| -> io::Result<u32> {
-        let four = bytes.get(at..at + 4).and_then(|four| four.try_into().ok()).ok_or_else(odd)?;
+    let malformed = || io::Error::other("malformed Thrift reply");
+    let read_u32 = |offset: usize| -> io::Result<u32> {
+        let four =
+            bytes.get(offset..offset + 4).and_then(|four| four.try_into().ok()).ok_or_else(malformed)?;
         Ok(u32::from_be_bytes(four))
     };
-    let after_name = 8 + word(4)? as usize;
-    let seqid = word(after_name)? as i32;
+    let after_name = 8 + read_u32(4)? as usize;
+    let seqid = read_u32(after_name)? as i32;
     let (kind, field) = (bytes.get(3), bytes.get(after_name + 6));
-    let end = match (kind.ok_or_else(odd)?, field.ok_or_else(odd)?) {
+    let end = match (kind.ok_or_else(malformed)?, field.ok_or_else(malformed)?) {
         (2, 0) => End::Served,
         (2, 1) => End::Refused,
         _ => End::Failed,
--- a/crates/rig/src/faults/worker.rs
+++ b/crates/rig/src/faults/worker.rs
@@ -1,4 +1,4 @@
-//! A stand-in worker that speaks frames and writes down what comes.
+//! A simulated worker that speaks the frame protocol and records the requests it receives.
 use super::log::{draw, Log};
 use super::records::{Arrival, At};
 use corkbay_node::wire::frames::{code, Frame, FROM_INVOKER, FROM_WORKER};
@@ -7,21 +7,23 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Parts of the requests that are turned away, that run and break their connection, and that run and are never answered.
-const FULL_PART: f64 = 0.04;
-const BREAKS_PART: f64 = 0.03;
-const UNANSWERED_PART: f64 = 0.03;
-/// Longest work of a request, in milliseconds.
-const WORK_MS: f64 = 30.0;
+/// Fraction of the requests that the worker rejects because it is full.
+const FULL_FRACTION: f64 = 0.04;
+/// Fraction of the requests that run and then close the connection without an answer.
+const DISCONNECT_FRACTION: f64 = 0.03;
+/// Fraction of the requests that run and are never answered.
+const UNANSWERED_FRACTION: f64 = 0.03;
+/// Longest run time of a request, in milliseconds.
+const MAX_WORK_MS: f64 = 30.0;
 
-/// A worker that listens on loopback for as long as the program runs.
+/// A worker that listens on loopback until the program ends.
 #[derive(Clone)]
 pub struct Worker {
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
-    /// Its number, never used again.
+    /// The worker's number; it is never reused.
     pub number: usize,
-    /// Its rack.
+    /// The worker's cell.
     pub rack: usize,
     seed: u64,
     log: Log,
@@ -32,20 +34,20 @@
 struct State {
     silent_until: At,
     sockets: Vec<TcpStream>,
-    /// Counts requests, so that each is drawn for apart.
-    came: u64,
+    /// Number of requests received; gives each one its own random draw.
+    request_count: u64,
 }
 
 impl Worker {
-    /// Listens.
+    /// Starts a worker on a free port.
     pub fn start(number: usize, rack: usize, seed: u64, log: &Log) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
         let worker = Worker { address, number, rack, seed, log: log.clone(), state: Arc::default() };
-        let ours = worker.clone();
+        let accepting_worker = worker.clone();
         std::thread::spawn(move || {
             for socket in listener.incoming().map_while(Result::ok) {
-                let worker = ours.clone();
+                let worker = accepting_worker.clone();
                 worker.state().sockets.extend(socket.try_clone());
                 std::thread::spawn(move || worker.serve(&socket));
             }
@@ -53,14 +55,14 @@
         Ok(worker)
     }
 
-    /// Breaks all its connections.
-    pub fn break_all(&self) {
+    /// Closes all connections.
+    pub fn close_connections(&self) {
         let sockets = std::mem::take(&mut self.state().sockets);
         sockets.iter().for_each(|socket| _ = socket.shutdown(Shutdown::Both));
     }
 
-    /// Answers nothing for that long.
-    pub fn silence(&self, span: Duration) {
+    /// Sends no answers for this time.
+    pub fn stop_answering(&self, span: Duration) {
         self.state().silent_until = self.log.now() + span.as_secs_f64() * 1000.0;
     }
 
@@ -73,8 +75,8 @@
         loop {
             while let Ok(Some(frame)) = Frame::decode(&mut buffer, FROM_INVOKER) {
                 match frame.code {
-                    code::REQUEST if !self.request(&frame, socket) => return,
-                    code::PROBE => answer(socket, code::ALIVE, frame.id),
+                    code::REQUEST if !self.handle_request(&frame, socket) => return,
+                    code::PROBE => reply(socket, code::ALIVE, frame.id),
                     _ => {}
                 }
             }
@@ -85,38 +87,38 @@
         }
     }
 
-    /// Deals with a request; false where its connection has ended.
-    fn request(&self, frame: &Frame, socket: &TcpStream) -> bool {
+    /// Handles a request. Returns `false` if the connection has ended.
+    fn handle_request(&self, frame: &Frame, socket: &TcpStream) -> bool {
         let at = self.log.now();
         let left = frame.field("ms").and_then(|ms| ms.parse().ok()).unwrap_or(At::INFINITY);
-        let (is_silent, came) = {
+        let (is_silent, request_count) = {
             let mut state = self.state();
-            state.came += 1;
-            (at < state.silent_until, state.came)
+            state.request_count += 1;
+            (at < state.silent_until, state.request_count)
         };
-        let drawn = draw(self.seed ^ self.number as u64, came);
-        let is_full = !is_silent && drawn < FULL_PART;
+        let sample = draw(self.seed ^ self.number as u64, request_count);
+        let is_full = !is_silent && sample < FULL_FRACTION;
         let (id, ran) = (frame.id, !is_full);
         self.log.records().arrivals.push(Arrival { id, worker: self.number, rack: self.rack, at, left, ran });
         if is_full {
-            answer(socket, code::FULL, id);
-        } else if drawn < FULL_PART + BREAKS_PART {
+            reply(socket, code::FULL, id);
+        } else if sample < FULL_FRACTION + DISCONNECT_FRACTION {
             let _ = socket.shutdown(Shutdown::Both);
             return false;
-        } else if !is_silent && drawn > UNANSWERED_PART + FULL_PART + BREAKS_PART {
-            let work = Duration::from_secs_f64(draw(came, self.seed) * WORK_MS / 1000.0);
+        } else if !is_silent && sample > UNANSWERED_FRACTION + FULL_FRACTION + DISCONNECT_FRACTION {
+            let work = Duration::from_secs_f64(draw(request_count, self.seed) * MAX_WORK_MS / 1000.0);
             let Ok(socket) = socket.try_clone() else { return false };
             std::thread::spawn(move || {
                 std::thread::sleep(work);
-                answer(&socket, code::OK, id);
+                reply(&socket, code::OK, id);
             });
         }
         true
     }
 }
 
-/// Whoever has left is seen by the reading side.
-fn answer(mut socket: &TcpStream, code: u8, id: u64) {
+/// Sends a frame. Write errors are ignored because the reader detects the end of a connection.
+fn reply(mut socket: &TcpStream, code: u8, id: u64) {
     let frame = Frame { mark: FROM_WORKER, code, id, fields: String::new(), body: b"done".to_vec() };
     let _ = socket.write_all(&frame.encode());
 }
--- a/crates/rig/src/fleet.rs
+++ b/crates/rig/src/fleet.rs
@@ -1,5 +1,5 @@
-//! Emulated workers on loopback: they speak the invoke API or binary frames, hold models in memory that is
-//! only counted, load them with a delay, start cold, and behave as a script says.
+//! Emulated workers on loopback. They speak the invoke API or binary frames, account for the memory of models without
+//! allocating it, load models with a delay, start cold, and follow a [`FaultSchedule`].
 use crate::fault_schedule::{Behaviour, FaultSchedule};
 use corkbay_node::wire::frames::{code, Frame, FROM_INVOKER, FROM_WORKER};
 use corkbay_node::wire::http::RequestHead;
@@ -10,29 +10,29 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-const CHUNK: usize = 8 << 10;
-const MOST_BODY: usize = 64 << 10;
-const STACK: usize = 256 << 10;
-const IDLE: Duration = Duration::from_secs(30);
-/// The part of its speed with which a worker starts.
-const COLD: f64 = 0.25;
+const READ_CHUNK_BYTES: usize = 8 << 10;
+const MAX_BODY_BYTES: usize = 64 << 10;
+const STACK_BYTES: usize = 256 << 10;
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Speed of a worker right after its start, as a fraction of its full speed.
+const COLD_SPEED: f64 = 0.25;
 
-/// What emulated workers are like.
+/// Properties of emulated workers.
 #[derive(Clone, Copy, Debug)]
 pub struct Kind {
-    /// Memory for models, MB.
+    /// Memory for models, in MB.
     pub memory_mb: f64,
-    /// Memory of a copy, MB.
+    /// Memory of one copy, in MB.
     pub copy_mb: f64,
-    /// Time of a load.
+    /// Time to load a copy.
     pub load: Duration,
-    /// Time of a call on a warm worker.
+    /// Run time of a call on a warm worker.
     pub work: Duration,
-    /// How long a worker is cold after its start.
+    /// Time after its start until a worker runs at full speed.
     pub cold: Duration,
-    /// Calls that it works on at a time; further ones are told that it is full.
+    /// Number of calls that run at a time; further ones are rejected as full.
     pub slots: usize,
-    /// It loads what it lacks by itself; without, it tells a miss and waits for an order.
+    /// Whether it loads missing models by itself; otherwise it reports a miss and waits for a load order.
     pub loads: bool,
 }
 
@@ -50,7 +50,7 @@
     }
 }
 
-/// Workers that serve for as long as this process lives.
+/// Emulated workers that serve until this process ends.
 #[derive(Clone, Debug)]
 pub struct Fleet {
     workers: Vec<Arc<Worker>>,
@@ -65,41 +65,41 @@
     began: Instant,
     state: Mutex<State>,
     served: AtomicU64,
-    /// Connections that are open at this worker.
+    /// Number of open connections.
     connections: AtomicUsize,
 }
 
 #[derive(Debug)]
 struct State {
-    /// When the process that is emulated started.
+    /// Start time of the emulated process.
     started: Instant,
-    /// Copies by model: when each stands and was last used.
-    copies: BTreeMap<String, Copy>,
-    busy: usize,
+    /// Copies by model.
+    copies: BTreeMap<String, ModelCopy>,
+    slots_in_use: usize,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Copy {
-    ready: Instant,
-    used: Instant,
+struct ModelCopy {
+    ready_at: Instant,
+    last_used: Instant,
 }
 
-/// What becomes of a call.
+/// Whether a call runs.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Verdict {
+enum Admission {
     Run { after: Duration },
     Miss,
     Full,
 }
 
 impl Fleet {
-    /// Starts workers of a kind, all on free ports.
+    /// Starts workers of a kind on free ports.
     pub fn start(count: usize, kind: Kind, schedule: FaultSchedule) -> io::Result<Self> {
         let began = Instant::now();
         let worker = |number| {
             let listener = TcpListener::bind("127.0.0.1:0")?;
             let address = listener.local_addr()?;
-            let state = State { started: began, copies: BTreeMap::new(), busy: 0 };
+            let state = State { started: began, copies: BTreeMap::new(), slots_in_use: 0 };
             let worker = Arc::new(Worker {
                 number,
                 address,
@@ -110,29 +110,31 @@
                 served: AtomicU64::new(0),
                 connections: AtomicUsize::new(0),
             });
-            let ours = worker.clone();
-            std::thread::Builder::new().stack_size(STACK).spawn(move || ours.listen(&listener))?;
+            let worker_in_thread = worker.clone();
+            std::thread::Builder::new()
+                .stack_size(STACK_BYTES)
+                .spawn(move || worker_in_thread.listen(&listener))?;
             Ok(worker)
         };
         Ok(Fleet { workers: (0..count).map(worker).collect::<io::Result<_>>()? })
     }
 
-    /// Where the workers listen.
+    /// The addresses on which the workers listen.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         self.workers.iter().map(|worker| worker.address).collect()
     }
 
-    /// Calls that each has served.
+    /// Number of calls that each worker has served.
     pub fn served(&self) -> Vec<u64> {
         self.workers.iter().map(|worker| worker.served.load(Relaxed)).collect()
     }
 
-    /// Connections that are open at all workers.
+    /// Number of open connections of all workers.
     pub fn connections(&self) -> usize {
         self.workers.iter().map(|worker| worker.connections.load(Relaxed)).sum()
     }
 
-    /// The worker's process is replaced: it is cold and holds nothing.
+    /// Emulates a restart of the worker's process: it is cold and holds no copies.
     pub fn restart(&self, number: usize) {
         if let Some(worker) = self.workers.get(number) {
             let mut state = worker.state();
@@ -148,53 +150,53 @@
 
     fn listen(self: &Arc<Self>, listener: &TcpListener) {
         for socket in listener.incoming().map_while(Result::ok) {
-            let ours = self.clone();
-            let task = std::thread::Builder::new().stack_size(STACK);
-            // Without a thread the connection is closed, as by a worker that takes no more.
+            let worker_in_thread = self.clone();
+            let task = std::thread::Builder::new().stack_size(STACK_BYTES);
+            // If no thread can be started, the connection is closed, as by an overloaded worker.
             let _ = task.spawn(move || {
-                ours.connections.fetch_add(1, Relaxed);
-                // A connection that ends in an error has ended all the same.
-                let _ = ours.converse(socket);
-                ours.connections.fetch_sub(1, Relaxed);
+                worker_in_thread.connections.fetch_add(1, Relaxed);
+                // Connection errors need no handling; the connection is closed either way.
+                let _ = worker_in_thread.serve_connection(socket);
+                worker_in_thread.connections.fetch_sub(1, Relaxed);
             });
         }
     }
 
-    /// The first byte tells what is spoken.
-    fn converse(&self, socket: TcpStream) -> io::Result<()> {
-        socket.set_read_timeout(Some(IDLE))?;
+    /// Detects the protocol by the first byte and serves the connection.
+    fn serve_connection(&self, socket: TcpStream) -> io::Result<()> {
+        socket.set_read_timeout(Some(IDLE_TIMEOUT))?;
         socket.set_nodelay(true)?;
         let mut first = [0];
         match socket.peek(&mut first)? {
             0 => Ok(()),
-            _ if first[0] == FROM_INVOKER => self.frames(socket),
-            _ => self.http(socket),
+            _ if first[0] == FROM_INVOKER => self.serve_frames(socket),
+            _ => self.serve_http(socket),
         }
     }
 
-    /// What becomes of a call that has come; one that runs holds a slot until [`Worker::done`].
-    fn take(&self, model: &str) -> Verdict {
+    /// Decides whether a new call runs; if so, it holds a slot until [`Worker::finish_call`].
+    fn admit(&self, model: &str) -> Admission {
         let (now, kind) = (Instant::now(), &self.kind);
         let mut state = self.state();
-        if state.busy >= kind.slots {
-            return Verdict::Full;
+        if state.slots_in_use >= kind.slots {
+            return Admission::Full;
         }
-        let stands = state.copies.contains_key(model) || kind.loads && state.load(model, kind, now);
-        if !stands {
-            return Verdict::Miss;
+        let is_loaded = state.copies.contains_key(model) || kind.loads && state.load(model, kind, now);
+        if !is_loaded {
+            return Admission::Miss;
         }
         let age = now.duration_since(state.started).as_secs_f64() / kind.cold.as_secs_f64().max(1e-3);
-        let speed = (COLD + (1.0 - COLD) * age).min(1.0);
+        let speed = (COLD_SPEED + (1.0 - COLD_SPEED) * age).min(1.0);
         let load = state.copies.get_mut(model).map_or(Duration::ZERO, |copy| {
-            copy.used = now;
-            copy.ready.saturating_duration_since(now)
+            copy.last_used = now;
+            copy.ready_at.saturating_duration_since(now)
         });
-        state.busy += 1;
-        Verdict::Run { after: load + kind.work.div_f64(speed) }
+        state.slots_in_use += 1;
+        Admission::Run { after: load + kind.work.div_f64(speed) }
     }
 
-    fn done(&self) {
-        self.state().busy -= 1;
+    fn finish_call(&self) {
+        self.state().slots_in_use -= 1;
         self.served.fetch_add(1, Relaxed);
     }
 
@@ -202,11 +204,11 @@
         self.schedule.behaviour(self.number, self.began.elapsed())
     }
 
-    /// Runs a call; `None` where nothing is to be answered.
+    /// Runs a call. Returns whether it succeeded, or `None` if no valid answer is to be sent.
     fn run(&self, after: Duration, behaviour: Behaviour) -> Option<bool> {
-        let slower = if let Behaviour::Slow(times) = behaviour { times } else { 1.0 };
-        std::thread::sleep(after.mul_f64(slower));
-        self.done();
+        let slowdown = if let Behaviour::Slow(factor) = behaviour { factor } else { 1.0 };
+        std::thread::sleep(after.mul_f64(slowdown));
+        self.finish_call();
         match behaviour {
             Behaviour::Healthy | Behaviour::Slow(_) => Some(true),
             Behaviour::Failing => Some(false),
@@ -214,8 +216,8 @@
         }
     }
 
-    fn http(&self, mut socket: TcpStream) -> io::Result<()> {
-        let (mut raw, mut chunk, mut body) = (Vec::new(), vec![0; CHUNK], Vec::new());
+    fn serve_http(&self, mut socket: TcpStream) -> io::Result<()> {
+        let (mut raw, mut chunk, mut body) = (Vec::new(), vec![0; READ_CHUNK_BYTES], Vec::new());
         let mut fill = |raw: &mut Vec<u8>, socket: &mut TcpStream| match socket.read(&mut chunk)? {
             0 => Err(io::Error::from(io::ErrorKind::UnexpectedEof)),
             size => {
@@ -229,15 +231,15 @@
                 None => fill(&mut raw, &mut socket)?,
             }
         };
-        while !head.body.feed(&mut raw, &mut body, MOST_BODY).map_err(io::Error::other)? {
+        while !head.body.feed(&mut raw, &mut body, MAX_BODY_BYTES).map_err(io::Error::other)? {
             fill(&mut raw, &mut socket)?;
         }
         let model = head.path.split('/').nth(3).unwrap_or_default();
         let not_run = "Corkbay-May-Have-Run: false\r\n";
-        let (status, headers, body) = match self.take(model) {
-            Verdict::Miss => (404, not_run, Vec::new()),
-            Verdict::Full => (503, not_run, Vec::new()),
-            Verdict::Run { after } => {
+        let (status, headers, body) = match self.admit(model) {
+            Admission::Miss => (404, not_run, Vec::new()),
+            Admission::Full => (503, not_run, Vec::new()),
+            Admission::Run { after } => {
                 let behaviour = self.behaviour();
                 match self.run(after, behaviour) {
                     Some(true) => (200, "", body),
@@ -260,10 +262,10 @@
         socket.write_all(&[head.as_bytes(), &body].concat())
     }
 
-    /// Frames are answered in the order in which their calls end, each by a thread of its own.
-    fn frames(&self, socket: TcpStream) -> io::Result<()> {
+    /// Serves frames. Each call runs on its own thread, so answers are sent in the order in which calls finish.
+    fn serve_frames(&self, socket: TcpStream) -> io::Result<()> {
         let (writer, mut reader) = (Mutex::new(socket.try_clone()?), socket);
-        let (mut raw, mut chunk) = (Vec::new(), vec![0; CHUNK]);
+        let (mut raw, mut chunk) = (Vec::new(), vec![0; READ_CHUNK_BYTES]);
         std::thread::scope(|scope| loop {
             let frame = loop {
                 match Frame::decode(&mut raw, FROM_INVOKER).map_err(io::Error::other)? {
@@ -278,7 +280,7 @@
             let answer = move |code, fields: String, body: Vec<u8>| {
                 let frame = Frame { mark: FROM_WORKER, code, id: frame.id, fields, body };
                 let mut socket = writer.lock().unwrap_or_else(PoisonError::into_inner);
-                // Who has left is seen by the reading side.
+                // The reading side detects that the peer has disconnected.
                 let _ = socket.write_all(&frame.encode());
             };
             let model = frame.field("obj").unwrap_or_default().to_string();
@@ -287,17 +289,17 @@
                 code::EVICT => _ = self.state().copies.remove(&format!("{:016x}", frame.id)),
                 code::LOAD => {
                     let wanted = frame.field("replicas").and_then(|text| text.parse().ok()).unwrap_or(0);
-                    let left = self.order(&model, wanted);
+                    let ready_in = self.handle_load_order(&model, wanted);
                     scope.spawn(move || {
-                        std::thread::sleep(left.unwrap_or_default());
-                        let code = if left.is_some() || wanted == 0 { code::OK } else { code::FULL };
-                        answer(code, format!("replicas={}", u32::from(left.is_some())), Vec::new());
+                        std::thread::sleep(ready_in.unwrap_or_default());
+                        let code = if ready_in.is_some() || wanted == 0 { code::OK } else { code::FULL };
+                        answer(code, format!("replicas={}", u32::from(ready_in.is_some())), Vec::new());
                     });
                 }
-                code::REQUEST => match self.take(&model) {
-                    Verdict::Miss => answer(code::MISS, String::new(), Vec::new()),
-                    Verdict::Full => answer(code::FULL, String::new(), Vec::new()),
-                    Verdict::Run { after } => {
+                code::REQUEST => match self.admit(&model) {
+                    Admission::Miss => answer(code::MISS, String::new(), Vec::new()),
+                    Admission::Full => answer(code::FULL, String::new(), Vec::new()),
+                    Admission::Run { after } => {
                         let (behaviour, body) = (self.behaviour(), frame.body);
                         scope.spawn(move || match self.run(after, behaviour) {
                             Some(true) => answer(code::OK, String::new(), body),
@@ -318,28 +320,31 @@
         })
     }
 
-    /// Holds a copy if one is wanted; tells how long until it stands, `None` where none will.
-    fn order(&self, model: &str, wanted: u32) -> Option<Duration> {
+    /// Handles a load order. Returns the time until the copy is ready, or `None` if there will be no copy.
+    fn handle_load_order(&self, model: &str, wanted: u32) -> Option<Duration> {
         let now = Instant::now();
         let mut state = self.state();
         if wanted > 0 && !state.copies.contains_key(model) {
             state.load(model, &self.kind, now);
         }
-        state.copies.get(model).map(|copy| copy.ready.saturating_duration_since(now))
+        state.copies.get(model).map(|copy| copy.ready_at.saturating_duration_since(now))
     }
 }
 
 impl State {
-    /// Begins a load; the copies idle longest give way. Tells whether there was room.
+    /// Starts to load a model; evicts the least recently used copies as needed. Returns `false` if there is no room.
     fn load(&mut self, model: &str, kind: &Kind, now: Instant) -> bool {
-        let most = (kind.memory_mb / kind.copy_mb.max(1.0)) as usize;
-        while self.copies.len() >= most.max(1) {
-            let idle =
-                self.copies.iter().filter(|(_, copy)| copy.ready <= now).min_by_key(|(_, copy)| copy.used);
+        let max_copies = (kind.memory_mb / kind.copy_mb.max(1.0)) as usize;
+        while self.copies.len() >= max_copies.max(1) {
+            let idle = self
+                .copies
+                .iter()
+                .filter(|(_, copy)| copy.ready_at <= now)
+                .min_by_key(|(_, copy)| copy.last_used);
             let Some(oldest) = idle.map(|(name, _)| name.clone()) else { return false };
             self.copies.remove(&oldest);
         }
-        self.copies.insert(model.to_string(), Copy { ready: now + kind.load, used: now });
+        self.copies.insert(model.to_string(), ModelCopy { ready_at: now + kind.load, last_used: now });
         true
     }
 }
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -1,7 +1,7 @@
-//! An emulated fleet and a load tool for corkbay: what a day offers and how workers behave follow from a
-//! seed, so that a day can be run again.
+//! An emulated fleet and a load tool for corkbay. The load and the behaviour of the workers are drawn from a seed, so that
+//! a run can be repeated.
 //!
-//! [`plan`] and [`verdict`] decide and do no I/O; the rest opens sockets on loopback only, for a bounded time.
+//! [`plan`] and [`verdict`] do no I/O; the other modules open sockets on loopback only, for a bounded time.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/rig/src/load.rs
+++ b/crates/rig/src/load.rs
@@ -1,7 +1,7 @@
-//! Offers a plan to a daemon and records what came of it.
+//! Sends the calls of a plan to a daemon and records the results.
 //!
-//! A latency runs from the time at which the plan wanted the call made, whether or not a thread was free to
-//! make it then: what waits for a slow answer counts as slow itself (no coordinated omission).
+//! Latency is measured from the scheduled time of a call, even if no thread was free at that time, so calls delayed by slow
+//! answers count as slow too (no coordinated omission).
 use crate::client::{Client, Response};
 use crate::plan::Arrival;
 use hdrhistogram::Histogram;
@@ -11,57 +11,57 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-const PATIENCE: Duration = Duration::from_secs(12);
-/// Longest latency that is told apart, in microseconds.
-const LONGEST_US: u64 = 60_000_000;
+const CLIENT_TIMEOUT: Duration = Duration::from_secs(12);
+/// Largest latency that the histogram records, in microseconds; higher ones are clamped.
+const MAX_LATENCY_US: u64 = 60_000_000;
 
-/// What came of the calls of one kind.
+/// Results of the calls of one class and style.
 #[derive(Clone, Debug)]
 pub struct Group {
-    /// Times from when a call was due to its final answer, in microseconds.
+    /// Time from the scheduled time of a call to its final answer, in microseconds.
     pub latency: Histogram<u64>,
-    /// Final answers by status; 0 where the connection broke.
+    /// Number of final answers by status; 0 stands for a failed connection or a timeout.
     pub statuses: BTreeMap<u16, u64>,
 }
 
-/// What came of a plan, by class and style.
+/// Results of a plan, by class and style.
 pub type Outcome = BTreeMap<String, Group>;
 
 impl Group {
     fn new() -> Result<Self, hdrhistogram::CreationError> {
-        Ok(Group { latency: Histogram::new_with_bounds(1, LONGEST_US, 3)?, statuses: BTreeMap::new() })
+        Ok(Group { latency: Histogram::new_with_bounds(1, MAX_LATENCY_US, 3)?, statuses: BTreeMap::new() })
     }
 
-    /// Answers in all.
+    /// Total number of answers.
     pub fn count(&self) -> u64 {
         self.statuses.values().sum()
     }
 }
 
-/// Makes the calls of a plan that fall due within a span, with so many threads at the most.
+/// Makes the calls of a plan that are scheduled within `span`, on `threads` threads.
 pub fn run(
     address: SocketAddr,
     plan: impl Iterator<Item = Arrival> + Send,
     span: Duration,
     threads: usize,
 ) -> io::Result<Outcome> {
-    let (plan, outcome, began) = (Mutex::new(plan), Mutex::new(Outcome::new()), Instant::now());
+    let (plan, outcome, started) = (Mutex::new(plan), Mutex::new(Outcome::new()), Instant::now());
     let empty = Group::new().map_err(io::Error::other)?;
     std::thread::scope(|scope| {
         for _ in 0..threads.max(1) {
             scope.spawn(|| {
-                let mut client = Client::new(address, PATIENCE);
+                let mut client = Client::new(address, CLIENT_TIMEOUT);
                 loop {
                     let next = plan.lock().unwrap_or_else(PoisonError::into_inner).next();
                     let Some(arrival) = next.filter(|arrival| arrival.at < span) else { return };
-                    std::thread::sleep(arrival.at.saturating_sub(began.elapsed()));
+                    std::thread::sleep(arrival.at.saturating_sub(started.elapsed()));
                     let status = call(&mut client, &arrival).map_or(0, |response| response.status);
-                    let took = began.elapsed().saturating_sub(arrival.at).as_micros() as u64;
+                    let latency_us = started.elapsed().saturating_sub(arrival.at).as_micros() as u64;
                     let class = arrival.function.split('-').next().unwrap_or_default();
                     let style = if arrival.deferred { "deferred" } else { "held" };
                     let mut outcome = outcome.lock().unwrap_or_else(PoisonError::into_inner);
                     let group = outcome.entry(format!("{class} {style}")).or_insert_with(|| empty.clone());
-                    group.latency.saturating_record(took.max(1));
+                    group.latency.saturating_record(latency_us.max(1));
                     *group.statuses.entry(status).or_default() += 1;
                 }
             });
@@ -70,7 +70,7 @@
     Ok(outcome.into_inner().unwrap_or_else(PoisonError::into_inner))
 }
 
-/// Makes one call and waits for its final answer, unless nobody collects it.
+/// Makes one call and waits for its final answer, unless the call is abandoned.
 pub fn call(client: &mut Client, arrival: &Arrival) -> io::Result<Response> {
     let path = format!("/v1/functions/{}/invocations", arrival.function);
     let mut headers = Vec::new();
--- a/crates/rig/src/main.rs
+++ b/crates/rig/src/main.rs
@@ -1,15 +1,15 @@
-//! `corkbay-rig`: an emulated fleet, and loads and soaks against a daemon it starts.
+//! `corkbay-rig`: runs an emulated fleet, and load and soak tests against daemons that it starts.
 use clap::{Parser, Subcommand};
 use corkbay_rig::client::Client;
-use corkbay_rig::daemon::{beside, Daemon, Deployment};
+use corkbay_rig::daemon::{default_program, Daemon, Deployment};
 use corkbay_rig::fault_schedule::FaultSchedule;
-use corkbay_rig::faults::{self, Places, Scenario};
+use corkbay_rig::faults::{self, Scenario, SoakPaths};
 use corkbay_rig::fleet::{Fleet, Kind};
 use corkbay_rig::grow;
-use corkbay_rig::plan::{Offer, Plan};
+use corkbay_rig::plan::{OfferedLoad, Plan};
 use corkbay_rig::scale::feed::hollow;
 use corkbay_rig::scale::{self, Experiment, ScaleContext};
-use corkbay_rig::soak::{names, Soak, STEADY};
+use corkbay_rig::soak::{flood_names, Soak, STEADY};
 use corkbay_rig::verdict::{judge, Bounds};
 use corkbay_rig::{compare, load, report};
 use std::error::Error;
@@ -17,12 +17,12 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// The allocator of the daemon, so that hollow followers take the memory that they take there.
+/// The daemon's allocator, so that simulated followers use as much memory as in the daemon.
 #[global_allocator]
-static HEAP: tikv_jemallocator::Jemalloc = tikv_jemallocator::Jemalloc;
+static ALLOCATOR: tikv_jemallocator::Jemalloc = tikv_jemallocator::Jemalloc;
 
-/// Broken rules of a day that are printed.
-const SHOWN_BREAKS: usize = 5;
+/// Most violations printed for one run.
+const MAX_PRINTED_VIOLATIONS: usize = 5;
 
 /// Emulated workers and loads for corkbay, on loopback and for a bounded time.
 #[derive(Parser)]
@@ -30,109 +30,108 @@
 struct Arguments {
     #[command(subcommand)]
     task: Task,
-    /// The daemon's program; the one built beside this one without.
+    /// The daemon's executable; by default `corkbay` in the folder of this program.
     #[arg(long, global = true)]
     program: Option<PathBuf>,
-    /// Where tables, charts, logs and the daemon's files go.
+    /// Folder for tables, charts, logs and the daemon's files.
     #[arg(long, global = true, default_value = "found/rig")]
     out: PathBuf,
-    /// What the day follows from.
+    /// Seed of the random numbers.
     #[arg(long, global = true, default_value_t = 1)]
     seed: u64,
 }
 
 #[derive(Subcommand)]
 enum Task {
-    /// Starts a fleet and a daemon, and shows one held and one deferred call being served.
+    /// Starts a fleet and a daemon, and makes one held and one deferred call.
     Demo,
     /// Runs emulated workers and prints their addresses.
     Fleet {
-        /// How many.
+        /// Number of workers.
         #[arg(long, default_value_t = 6)]
         workers: usize,
-        /// For how long, in seconds.
+        /// Duration, in seconds.
         #[arg(long, default_value_t = 600)]
         seconds: u64,
-        /// The part of the time in which a worker is slow, silent, resetting, lying or failing.
+        /// Fraction of the time in which a worker is slow or silent, closes connections, or answers with garbage or errors.
         #[arg(long, default_value_t = 0.0)]
         trouble: f64,
-        /// They wait for orders instead of loading what they lack.
+        /// Workers wait for load orders instead of loading missing models by themselves.
         #[arg(long)]
         ordered: bool,
     },
-    /// Offers a day's calls to a daemon with an emulated fleet and writes down what came of them.
+    /// Sends an open-loop load to a daemon with an emulated fleet and writes a report.
     Load {
-        /// Calls a second.
+        /// Calls per second.
         #[arg(long, default_value_t = 110.0)]
         rate: f64,
-        /// For how long, in seconds.
+        /// Duration, in seconds.
         #[arg(long, default_value_t = 30)]
         seconds: u64,
-        /// Most calls that are waited for at a time.
+        /// Most calls in flight.
         #[arg(long, default_value_t = 64)]
         threads: usize,
-        /// The part of the time in which a worker misbehaves.
+        /// Fraction of the time in which a worker misbehaves.
         #[arg(long, default_value_t = 0.0)]
         trouble: f64,
-        /// What is spoken to workers.
+        /// Protocol for talking to workers.
         #[arg(long, default_value = "http", value_parser = ["http", "frames"])]
         protocol: String,
     },
-    /// Floods a daemon with ever new function names and tells its memory after each quarter.
+    /// Floods a daemon with new function names and prints its memory after each quarter.
     Flood {
-        /// Names in all.
+        /// Total number of names.
         #[arg(long, default_value_t = 24_000)]
         names: usize,
-        /// A line for the head of the deploy file.
+        /// A line added to the top of the deploy file.
         #[arg(long, default_value = "")]
         head: String,
     },
-    /// Times the whole way of a call through another build and this one, in turns.
+    /// Compares the end-to-end latency of calls in another build and this one, alternating between them.
     Compare {
         /// The other build.
         #[arg(long)]
         before: PathBuf,
-        /// Rounds; each takes both builds.
+        /// Number of rounds; each measures both builds.
         #[arg(long, default_value_t = 15)]
         rounds: usize,
-        /// Calls of one build in a round.
+        /// Number of calls to each build per round.
         #[arg(long, default_value_t = 1000)]
         calls: usize,
     },
-    /// Several daemons on the platform's front under faults drawn from the seed, run after run; fails where a rule is
-    /// broken.
+    /// Runs soaks of several daemons on the Thrift front under faults drawn from the seed; fails if a rule is violated.
     Faults {
-        /// How many seeds, from the one given on.
+        /// Number of runs; the seed increases by one for each.
         #[arg(long, default_value_t = 1)]
         runs: u64,
-        /// How long clients send in a run, in seconds.
+        /// How long clients send requests in each run, in seconds.
         #[arg(long, default_value_t = 15)]
         seconds: u64,
-        /// The library that steps clocks and fails system calls.
+        /// The preload library that steps clocks and fails system calls.
         #[arg(long, default_value = "target/debug/libcorkbay_shim.so")]
         shim: PathBuf,
     },
-    /// An hour's turnover in a few minutes; fails unless memory stays flat.
+    /// Compresses an hour's turnover into a few minutes; fails unless memory stays flat.
     Soak {
-        /// How many minutes.
+        /// Duration, in minutes.
         #[arg(long, default_value_t = 10.0)]
         minutes: f64,
-        /// A line for the head of the deploy file.
+        /// A line added to the top of the deploy file.
         #[arg(long, default_value = "")]
         head: String,
     },
     /// Measures a cost at several sizes and fits how it grows.
     Scale {
-        /// What is measured.
+        /// The experiment to run.
         #[command(subcommand)]
         experiment: Experiment,
     },
-    /// Plays the same day before fleets of several sizes; fails where a rule is broken or a need grows too far.
+    /// Runs the same scenario with fleets of several sizes; fails if a rule is violated or resource usage grows too much.
     Grow(grow::Options),
-    /// A process of hollow followers, as the experiments start it.
+    /// Runs a process of simulated followers for the scale experiments.
     #[command(hide = true)]
     FollowerHost {
-        /// The file that says which.
+        /// Path of its JSON configuration.
         config: PathBuf,
     },
 }
@@ -150,12 +149,12 @@
 
 fn run(arguments: &Arguments) -> Result<bool, Box<dyn Error>> {
     let (seed, out) = (arguments.seed, &arguments.out);
-    let program = || arguments.program.clone().map_or_else(beside, Ok);
+    let program = || arguments.program.clone().map_or_else(default_program, Ok);
     match &arguments.task {
         Task::Demo => demo(&Daemon::start(
             &program()?,
             out,
-            &small(&Fleet::start(3, Kind::default(), FaultSchedule { seed, fault_rate: 0.0 })?),
+            &small_deployment(&Fleet::start(3, Kind::default(), FaultSchedule { seed, fault_rate: 0.0 })?),
         )?),
         Task::Fleet { workers, seconds, trouble, ordered } => {
             let kind = Kind { loads: !ordered, ..Kind::default() };
@@ -168,10 +167,11 @@
             let protocol = if protocol == "frames" { "frames" } else { "http" };
             let kind = Kind { loads: protocol == "http", ..Kind::default() };
             let fleet = Fleet::start(6, kind, FaultSchedule { seed, fault_rate: *trouble })?;
-            let offer = Offer { rate: *rate, ..Offer::default() };
-            let deployment = Deployment { protocol, functions: offer.functions, ..small(&fleet) };
+            let offered_load = OfferedLoad { rate: *rate, ..OfferedLoad::default() };
+            let deployment =
+                Deployment { protocol, functions: offered_load.functions, ..small_deployment(&fleet) };
             let daemon = Daemon::start(&program()?, out, &deployment)?;
-            let plan = Plan::new(offer, seed).ok_or("the rate makes no sense")?;
+            let plan = Plan::new(offered_load, seed).ok_or("the rate must be positive and finite")?;
             let outcome = load::run(daemon.address, plan, Duration::from_secs(*seconds), *threads)?;
             report::load(out, &outcome)?;
             print!("{}", std::fs::read_to_string(out.join("load.csv"))?);
@@ -179,7 +179,7 @@
             Ok(true)
         }
         Task::Flood { names: count, head } => {
-            let flooded = names(&program()?, out, *count, head)?;
+            let flooded = flood_names(&program()?, out, *count, head)?;
             let resident: Vec<String> =
                 flooded.resident.iter().map(|bytes| format!("{:.1}", bytes / 1e6)).collect();
             println!("resident MB before and after each quarter: {}", resident.join(" "));
@@ -193,7 +193,7 @@
         Task::Compare { before, rounds, calls } => {
             let now = program()?;
             let found = compare::run([before, &now], out, *rounds, *calls)?;
-            let of = |place: usize| compare::median(found.iter().map(|round| round[place]).collect());
+            let of = |build: usize| compare::median(found.iter().map(|round| round[build]).collect());
             let ratio = compare::median(found.iter().map(|round| round[1] / round[0]).collect());
             println!("a call takes {:.1} us before and {:.1} us now; median ratio {ratio:.3}", of(0), of(1));
             Ok(true)
@@ -216,9 +216,9 @@
             let mut are_kept = true;
             for seed in seed..seed + runs {
                 let folder = std::path::absolute(out)?.join(format!("faults-{seed}"));
-                let places = Places { program: program()?, shim: shim.clone(), folder };
+                let places = SoakPaths { program: program()?, shim: shim.clone(), folder };
                 let scenario = Scenario::draw(seed, Duration::from_secs(*seconds));
-                are_kept &= tell_faults(seed, &faults::play(scenario, seed, &places)?);
+                are_kept &= print_faults(seed, &faults::run(scenario, seed, &places)?);
             }
             Ok(are_kept)
         }
@@ -227,7 +227,7 @@
             scale::run(&context, experiment)?;
             Ok(true)
         }
-        Task::Grow(options) => tell_growth(&grow::run(options, &program()?, out, seed)?, out),
+        Task::Grow(options) => print_growth(&grow::run(options, &program()?, out, seed)?, out),
         Task::FollowerHost { config } => {
             hollow::serve(&serde_json::from_slice(&std::fs::read(config)?)?)?;
             Ok(true)
@@ -235,8 +235,8 @@
     }
 }
 
-/// Prints what days of several sizes showed; whether all rules and bounds were kept.
-fn tell_growth(readings: &[grow::Reading], out: &std::path::Path) -> Result<bool, Box<dyn Error>> {
+/// Prints the results of runs with several fleet sizes. Returns whether all rules and bounds were kept.
+fn print_growth(readings: &[grow::Reading], out: &std::path::Path) -> Result<bool, Box<dyn Error>> {
     for reading in readings {
         let grow::Reading { workers, asked, served, cpu_s, .. } = reading;
         let ready_ms = reading.ready_after.as_millis();
@@ -247,7 +247,11 @@
         for (rule, count) in reading.breaks_by_rule() {
             println!("{workers} workers: {rule:?} broken {count} times");
         }
-        reading.breaks.iter().take(SHOWN_BREAKS).for_each(|found| println!("{workers} workers: {found}"));
+        reading
+            .breaks
+            .iter()
+            .take(MAX_PRINTED_VIOLATIONS)
+            .for_each(|violation| println!("{workers} workers: {violation}"));
     }
     let rows = grow::growth(readings);
     for row in &rows {
@@ -260,8 +264,8 @@
         && readings.iter().all(|reading| reading.breaks.is_empty() && !reading.left_workers_out))
 }
 
-/// Prints what came of a soak under faults; whether all rules were kept.
-fn tell_faults(seed: u64, outcome: &faults::Outcome) -> bool {
+/// Prints the result of a soak under faults. Returns whether all rules were kept.
+fn print_faults(seed: u64, outcome: &faults::Outcome) -> bool {
     let [check, post, once] = outcome.served;
     println!(
         "seed {seed}: asked {} arrived {} served check {check:.2} post {post:.2} once {once:.2} resident {:.1} MB descriptors {} breaks {}",
@@ -271,11 +275,11 @@
         outcome.peaks.1,
         outcome.breaks.len()
     );
-    outcome.breaks.iter().for_each(|found| println!("seed {seed}: {found}"));
+    outcome.breaks.iter().for_each(|violation| println!("seed {seed}: {violation}"));
     outcome.breaks.is_empty() && outcome.within_limits
 }
 
-fn small(fleet: &Fleet) -> Deployment {
+fn small_deployment(fleet: &Fleet) -> Deployment {
     Deployment { head: String::new(), protocol: "http", workers: fleet.addresses(), functions: 4 }
 }
 
--- a/crates/rig/src/plan.rs
+++ b/crates/rig/src/plan.rs
@@ -1,99 +1,99 @@
-//! What a day offers: arrivals in time, each with its function, style, key and body, from a seed.
+//! The arrivals of a load run, drawn from a seed: time, function, style (held or deferred), key and body size of each call.
 //!
-//! The loop is open: arrivals don't wait for answers, so that a slow answer delays no later arrival and is
-//! not hidden by it.
+//! The load is open-loop: arrivals don't wait for answers, so a slow answer delays no later arrival and no delay is hidden.
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp, Zipf};
 use std::time::Duration;
 
-/// The tenants of emulated days, with the shares of the deployment.
+/// The tenants of the emulated deployment with their shares of the functions and quotas.
 pub const TENANTS: [(&str, f64); 3] = [("regie-desk", 0.55), ("amana-credit", 0.34), ("tadla-coop", 0.11)];
 
-/// What is offered.
+/// Parameters of the offered load.
 #[derive(Clone, Copy, Debug)]
-pub struct Offer {
-    /// Arrivals a second.
+pub struct OfferedLoad {
+    /// Arrivals per second.
     pub rate: f64,
-    /// Functions that are called, of each class.
+    /// Number of functions that are called, per class.
     pub functions: usize,
-    /// How uneven their popularity is.
+    /// Exponent of the Zipf distribution of their popularity.
     pub skew: f64,
-    /// How often the most popular functions change places with others.
-    pub turn: Duration,
-    /// The part of calls that is deferred.
-    pub deferred: f64,
-    /// The part of deferred calls that nobody ever collects.
-    pub abandoned: f64,
+    /// Interval at which other functions become the most popular ones.
+    pub popularity_shift_interval: Duration,
+    /// Fraction of the calls that is deferred.
+    pub deferred_fraction: f64,
+    /// Fraction of the deferred calls whose result is never collected.
+    pub abandoned_fraction: f64,
     /// Largest body, in bytes.
-    pub body: usize,
+    pub max_body_bytes: usize,
 }
 
-impl Default for Offer {
+impl Default for OfferedLoad {
     fn default() -> Self {
-        Offer {
+        OfferedLoad {
             rate: 110.0,
             functions: 20,
             skew: 1.3,
-            turn: Duration::from_secs(15),
-            deferred: 0.2,
-            abandoned: 0.5,
-            body: 2048,
+            popularity_shift_interval: Duration::from_secs(15),
+            deferred_fraction: 0.2,
+            abandoned_fraction: 0.5,
+            max_body_bytes: 2048,
         }
     }
 }
 
-/// One call that is to be made.
+/// One call to make.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
-    /// When, from the start.
+    /// Time since the start.
     pub at: Duration,
     /// The function.
     pub function: String,
     /// The idempotency key of a `post`.
     pub key: Option<String>,
-    /// It is handed over and collected later.
+    /// Whether the call is deferred, so that its result is collected later.
     pub deferred: bool,
-    /// Nobody collects it.
+    /// Whether the result is never collected.
     pub abandoned: bool,
-    /// Bytes of its body.
+    /// Size of the body, in bytes.
     pub body: usize,
 }
 
-/// The arrivals of a day, without an end.
+/// An endless iterator over arrivals.
 pub struct Plan {
-    offer: Offer,
+    load: OfferedLoad,
     rng: ChaCha8Rng,
-    gap: Exp<f64>,
-    popular: Zipf<f64>,
-    clock: f64,
-    count: u64,
+    interarrival_s: Exp<f64>,
+    popularity: Zipf<f64>,
+    clock_s: f64,
+    arrival_count: u64,
     seed: u64,
 }
 
-/// A function of the emulated deployment, by class and number; each belongs to one tenant.
+/// Returns the name of a function of the emulated deployment.
 pub fn function(class: &str, number: usize) -> String {
     format!("{class}-{number}")
 }
 
-/// The tenant of a function of that number, so that shares come about as in the deployment.
+/// Returns the tenant of the functions with this number. The multiples of the golden ratio spread the numbers so that
+/// each tenant gets its share.
 pub fn tenant(number: usize) -> &'static str {
-    let place = (number as f64 * 0.618_034).fract();
+    let position = (number as f64 * 0.618_034).fract();
     let mut sum = 0.0;
     let found = TENANTS.iter().find(|(_, share)| {
         sum += share;
-        place < sum
+        position < sum
     });
     found.unwrap_or(&TENANTS[0]).0
 }
 
 impl Plan {
-    /// The plan that follows from an offer and a seed; `None` where the offer makes no sense.
-    pub fn new(offer: Offer, seed: u64) -> Option<Self> {
-        let gap = Exp::new(offer.rate).ok().filter(|_| offer.rate.is_finite() && offer.rate > 0.0)?;
-        let popular = Zipf::new(offer.functions.max(1) as f64, offer.skew).ok()?;
+    /// Creates the plan for an offered load and a seed. Returns `None` if the load is invalid.
+    pub fn new(load: OfferedLoad, seed: u64) -> Option<Self> {
+        let interarrival_s = Exp::new(load.rate).ok().filter(|_| load.rate.is_finite() && load.rate > 0.0)?;
+        let popularity = Zipf::new(load.functions.max(1) as f64, load.skew).ok()?;
         let rng = ChaCha8Rng::seed_from_u64(seed);
-        Some(Plan { offer, rng, gap, popular, clock: 0.0, count: 0, seed })
+        Some(Plan { load, rng, interarrival_s, popularity, clock_s: 0.0, arrival_count: 0, seed })
     }
 }
 
@@ -101,21 +101,22 @@
     type Item = Arrival;
 
     fn next(&mut self) -> Option<Arrival> {
-        self.clock += self.gap.sample(&mut self.rng);
-        self.count += 1;
-        let at = Duration::from_secs_f64(self.clock);
-        let turns = (at.as_secs_f64() / self.offer.turn.as_secs_f64().max(0.001)) as usize;
-        let rank = self.popular.sample(&mut self.rng) as usize;
-        let number = (rank + 3 * turns) % self.offer.functions.max(1);
+        self.clock_s += self.interarrival_s.sample(&mut self.rng);
+        self.arrival_count += 1;
+        let at = Duration::from_secs_f64(self.clock_s);
+        let shifts =
+            (at.as_secs_f64() / self.load.popularity_shift_interval.as_secs_f64().max(0.001)) as usize;
+        let rank = self.popularity.sample(&mut self.rng) as usize;
+        let number = (rank + 3 * shifts) % self.load.functions.max(1);
         let is_post = self.rng.random_bool(0.44);
-        let deferred = self.rng.random_bool(self.offer.deferred);
+        let deferred = self.rng.random_bool(self.load.deferred_fraction);
         Some(Arrival {
             at,
             function: function(if is_post { "post" } else { "check" }, number),
-            key: is_post.then(|| format!("{:x}-{}", self.seed, self.count)),
+            key: is_post.then(|| format!("{:x}-{}", self.seed, self.arrival_count)),
             deferred,
-            abandoned: deferred && self.rng.random_bool(self.offer.abandoned),
-            body: self.rng.random_range(1..=self.offer.body.max(1)),
+            abandoned: deferred && self.rng.random_bool(self.load.abandoned_fraction),
+            body: self.rng.random_range(1..=self.load.max_body_bytes.max(1)),
         })
     }
 }
--- a/crates/rig/src/report.rs
+++ b/crates/rig/src/report.rs
@@ -1,4 +1,4 @@
-//! Results as tables (CSV, JSON) and charts (SVG) in a folder.
+//! Writes results as tables (CSV, JSON) and charts (SVG) into a folder.
 use crate::load::Outcome;
 use crate::verdict::{Finding, Sample};
 use plotters::prelude::*;
@@ -6,7 +6,7 @@
 use std::error::Error;
 use std::path::Path;
 
-const SIZE: (u32, u32) = (960, 540);
+const CHART_SIZE_PX: (u32, u32) = (960, 540);
 const QUANTILES: [f64; 5] = [0.5, 0.9, 0.99, 0.999, 1.0];
 
 #[derive(Serialize)]
@@ -24,7 +24,7 @@
     most_ms: f64,
 }
 
-/// Writes what came of a load: `load.csv`, `load.json` and `latency.svg`.
+/// Writes the results of a load run: `load.csv`, `load.json` and `latency.svg`.
 pub fn load(folder: &Path, outcome: &Outcome) -> Result<(), Box<dyn Error>> {
     std::fs::create_dir_all(folder)?;
     let rows: Vec<Row> = outcome
@@ -57,19 +57,19 @@
         };
         (name.clone(), (0..=40).map(point).collect())
     });
-    let labels = ["halvings of the part that took longer", "milliseconds"];
-    chart(&folder.join("latency.svg"), "Latency from when a call was due", labels, lines.collect())
+    let labels = ["halvings of the slower fraction of calls", "milliseconds"];
+    chart(&folder.join("latency.svg"), "Latency from the scheduled time of a call", labels, lines.collect())
 }
 
-/// Writes what a soak found: `samples.json`, `verdict.csv`, `accounts.svg` and `resident.svg`.
+/// Writes the results of a soak: `samples.json`, `verdict.csv`, `accounts.svg` and `resident.svg`.
 pub fn soak(folder: &Path, samples: &[Sample], findings: &[Finding]) -> Result<(), Box<dyn Error>> {
     std::fs::create_dir_all(folder)?;
     table(&folder.join("verdict.csv"), findings)?;
     std::fs::write(folder.join("samples.json"), serde_json::to_vec(samples)?)?;
     let names =
         samples.last().map(|last| last.accounts.keys().cloned().collect::<Vec<_>>()).unwrap_or_default();
-    let whole = names.into_iter().filter(|name| !name.contains('/'));
-    let lines = whole.map(|name| {
+    let without_tenants = names.into_iter().filter(|name| !name.contains('/'));
+    let lines = without_tenants.map(|name| {
         let point = |sample: &Sample| {
             let used = sample.accounts.get(&name).map_or(0.0, |holding| holding.used);
             (sample.at_s, used / 1e6)
@@ -77,17 +77,17 @@
         (name.clone(), samples.iter().map(point).collect())
     });
     let labels = ["seconds", "MB"];
-    chart(&folder.join("accounts.svg"), "Held by purpose", labels, lines.collect())?;
+    chart(&folder.join("accounts.svg"), "Memory held by purpose", labels, lines.collect())?;
     let resident = samples.iter().map(|sample| (sample.at_s, sample.resident / 1e6)).collect();
     let held = |sample: &Sample| {
-        let whole = sample.accounts.iter().filter(|(name, _)| !name.contains('/'));
-        (sample.at_s, whole.map(|(_, holding)| holding.used).sum::<f64>() / 1e6)
+        let without_tenants = sample.accounts.iter().filter(|(name, _)| !name.contains('/'));
+        (sample.at_s, without_tenants.map(|(_, holding)| holding.used).sum::<f64>() / 1e6)
     };
     let lines = vec![
         ("resident".to_string(), resident),
         ("all accounts".to_string(), samples.iter().map(held).collect()),
     ];
-    chart(&folder.join("resident.svg"), "Resident memory and the accounts' sum", labels, lines)
+    chart(&folder.join("resident.svg"), "Resident memory and sum of the accounts", labels, lines)
 }
 
 fn table(path: &Path, rows: &[impl Serialize]) -> Result<(), Box<dyn Error>> {
@@ -96,23 +96,23 @@
     Ok(writer.flush()?)
 }
 
-/// A named line of a chart.
+/// A line of a chart: its name and its points.
 pub(crate) type Line = (String, Vec<(f64, f64)>);
 
-/// Draws lines as SVG; both axes begin at 0 unless a point lies below.
+/// Draws lines as SVG. Both axes start at 0 unless a point is negative.
 pub(crate) fn chart(
     path: &Path,
     title: &str,
     labels: [&str; 2],
     lines: Vec<Line>,
 ) -> Result<(), Box<dyn Error>> {
-    let most = |of: fn(&(f64, f64)) -> f64| {
+    let upper_bound = |of: fn(&(f64, f64)) -> f64| {
         lines.iter().flat_map(|line| line.1.iter()).map(of).fold(1e-3, f64::max) * 1.05
     };
-    let least = |of: fn(&(f64, f64)) -> f64| {
+    let lower_bound = |of: fn(&(f64, f64)) -> f64| {
         lines.iter().flat_map(|line| line.1.iter()).map(of).fold(0.0, f64::min) * 1.05
     };
-    let area = SVGBackend::new(path, SIZE).into_drawing_area();
+    let area = SVGBackend::new(path, CHART_SIZE_PX).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
         .caption(title, ("sans-serif", 20))
@@ -120,12 +120,12 @@
         .x_label_area_size(40)
         .y_label_area_size(60)
         .build_cartesian_2d(
-            least(|point| point.0)..most(|point| point.0),
-            least(|point| point.1)..most(|point| point.1),
+            lower_bound(|point| point.0)..upper_bound(|point| point.0),
+            lower_bound(|point| point.1)..upper_bound(|point| point.1),
         )?;
     chart.configure_mesh().x_desc(labels[0]).y_desc(labels[1]).draw()?;
-    for (place, (name, points)) in lines.into_iter().enumerate() {
-        let colour = Palette99::pick(place).to_rgba();
+    for (index, (name, points)) in lines.into_iter().enumerate() {
+        let colour = Palette99::pick(index).to_rgba();
         chart
             .draw_series(LineSeries::new(points, colour.stroke_width(2)))?
             .label(name)
--- a/crates/rig/src/soak.rs
+++ b/crates/rig/src/soak.rs
@@ -1,10 +1,11 @@
-//! An hour's turnover in a few minutes: steady, churning, flooding, and steady again.
+//! A memory soak that compresses an hour's turnover of functions, workers and connections into a few minutes. Its phases
+//! are steady, churning, flooding, and steady again.
 use crate::client::{request, Client};
 use crate::daemon::{Daemon, Deployment};
 use crate::fault_schedule::FaultSchedule;
 use crate::fleet::{Fleet, Kind};
 use crate::load::{self, Outcome};
-use crate::plan::{tenant, Arrival, Offer, Plan};
+use crate::plan::{tenant, Arrival, OfferedLoad, Plan};
 use crate::verdict::Sample;
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{self, Write};
@@ -15,38 +16,39 @@
 /// The name of the first and the last phase.
 pub const STEADY: &str = "steady";
 const PHASES: [&str; 4] = [STEADY, "churning", "flooding", STEADY];
-const PATIENCE: Duration = Duration::from_secs(5);
+const CLIENT_TIMEOUT: Duration = Duration::from_secs(5);
 const WORKERS: usize = 6;
 const THREADS: usize = 48;
-/// Work and loads of workers whose own pace is of no interest.
-const QUICK: Duration = Duration::from_millis(1);
-const LOOK: Duration = Duration::from_millis(500);
-/// Connections that one kind of guest holds at a time, and that a flood offers.
-const STAYING: usize = 60;
-const OFFERED: usize = 400;
+/// Call and load time of workers in runs that don't depend on it.
+const MINIMAL_DELAY: Duration = Duration::from_millis(1);
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
+/// Most idle connections that the churn phase keeps open.
+const MAX_IDLE_CONNECTIONS: usize = 60;
+/// Most connections that the flood phase keeps open.
+const MAX_FLOOD_CONNECTIONS: usize = 400;
 
-/// A soak that is to be run.
+/// Parameters of a soak.
 #[derive(Clone, Debug)]
 pub struct Soak {
-    /// How long it takes.
+    /// Duration of the soak.
     pub span: Duration,
-    /// What all of it follows from.
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// The daemon's program.
+    /// The daemon's executable.
     pub program: PathBuf,
-    /// Where its files go.
+    /// Folder for the daemon's files.
     pub folder: PathBuf,
-    /// Further lines for the head of its deploy file.
+    /// Lines added to the top of the daemon's deploy file.
     pub head: String,
 }
 
 impl Soak {
-    /// Runs it; gives what was sampled and what came of the calls of configured functions.
+    /// Runs the soak. Returns the samples and the outcome of the calls to configured functions.
     pub fn run(&self) -> io::Result<(Vec<Sample>, Outcome)> {
         let fleet =
             Fleet::start(WORKERS, Kind::default(), FaultSchedule { seed: self.seed, fault_rate: 0.05 })?;
-        let offer = Offer { rate: 100.0, ..Offer::default() };
-        // An hour's retention, compressed as the hour is.
+        let offer = OfferedLoad { rate: 100.0, ..OfferedLoad::default() };
+        // The retention is shortened in step with the compressed hour.
         let retention = (self.span.as_secs_f64() / 10.0).max(1.0);
         let deployment = Deployment {
             head: format!("data_dir = \"data\"\nretention_s = {retention}\n{}", self.head),
@@ -55,22 +57,23 @@
             functions: offer.functions,
         };
         let daemon = Daemon::start(&self.program, &self.folder, &deployment)?;
-        let (began, quarter) = (Instant::now(), self.span / 4);
-        let plan = Plan::new(offer, self.seed).ok_or_else(|| io::Error::other("the offer makes no sense"))?;
+        let (started, quarter) = (Instant::now(), self.span / 4);
+        let plan =
+            Plan::new(offer, self.seed).ok_or_else(|| io::Error::other("the offered load is invalid"))?;
         let address = daemon.address;
-        let phase = || (began.elapsed().as_nanos() / quarter.as_nanos().max(1)) as usize;
+        let phase = || (started.elapsed().as_nanos() / quarter.as_nanos().max(1)) as usize;
         std::thread::scope(|scope| {
             let steady = scope.spawn(|| load::run(address, plan, self.span, THREADS));
             scope.spawn(|| {
-                wait_until(began + quarter);
-                churn(address, &fleet, began + 2 * quarter);
-                flood(address, began + 3 * quarter);
+                wait_until(started + quarter);
+                churn(address, &fleet, started + 2 * quarter);
+                flood(address, started + 3 * quarter);
             });
             let mut samples = Vec::new();
-            while began.elapsed() < self.span {
-                std::thread::sleep(LOOK);
-                // The daemon may be too busy for a look now and then; that one is left out.
-                samples.extend(daemon.sample(began, PHASES[phase().min(PHASES.len() - 1)]));
+            while started.elapsed() < self.span {
+                std::thread::sleep(SAMPLE_INTERVAL);
+                // A sample is skipped if the daemon is too busy to answer.
+                samples.extend(daemon.sample(started, PHASES[phase().min(PHASES.len() - 1)]));
             }
             let outcome = steady.join().map_err(|_| io::Error::other("the load tool panicked"))??;
             Ok((samples, outcome))
@@ -82,100 +85,101 @@
     std::thread::sleep(at.saturating_duration_since(Instant::now()));
 }
 
-fn function_text(number: usize, class: &str) -> Vec<u8> {
+fn function_json(number: usize, class: &str) -> Vec<u8> {
     format!("{{\"class\":\"{class}\",\"tenant\":\"{}\",\"memory_mb\":64}}", tenant(number)).into_bytes()
 }
 
-/// New models, hosts under new names at old addresses, guests that ask once and stay.
+/// Adds and deletes functions, restarts workers under new names at their old addresses, and opens connections that send
+/// one request and then stay idle.
 fn churn(address: SocketAddr, fleet: &Fleet, end: Instant) {
-    let mut client = Client::new(address, PATIENCE);
-    let (mut staying, workers) = (VecDeque::new(), fleet.addresses());
+    let mut client = Client::new(address, CLIENT_TIMEOUT);
+    let (mut idle_connections, workers) = (VecDeque::new(), fleet.addresses());
     for number in 0.. {
         if Instant::now() >= end {
             return;
         }
         let name = format!("churn-{number}");
-        let (path, put) = (format!("/v1/functions/{name}"), function_text(number, "check"));
-        // What is refused is refused; the daemon's accounts tell.
+        let (path, put) = (format!("/v1/functions/{name}"), function_json(number, "check"));
+        // Refusals are expected; the soak checks only the daemon's memory accounts.
         let _ = client.ask("PUT", &path, &[], &put);
-        let _ = load::call(&mut client, &held(&name, None));
+        let _ = load::call(&mut client, &held_call(&name, None));
         if number >= 20 {
             let _ = client.ask("DELETE", &format!("/v1/functions/churn-{}", number - 20), &[], b"");
         }
         if number % 10 == 0 {
-            let (host, turn) = (number / 10 % workers.len(), number / 10 / workers.len());
-            let before = if turn == 0 { format!("w{host}") } else { format!("w{host}-{turn}") };
+            let (host, generation) = (number / 10 % workers.len(), number / 10 / workers.len());
+            let old_name = if generation == 0 { format!("w{host}") } else { format!("w{host}-{generation}") };
             let worker = format!("{{\"address\":\"{}\",\"cell\":{}}}", workers[host], host % 3);
-            let after = format!("/v1/workers/w{host}-{}", turn + 1);
+            let after = format!("/v1/workers/w{host}-{}", generation + 1);
             fleet.restart(host);
             let _ = client.ask("PUT", &after, &[], worker.as_bytes());
-            let _ = client.ask("DELETE", &format!("/v1/workers/{before}"), &[], b"");
+            let _ = client.ask("DELETE", &format!("/v1/workers/{old_name}"), &[], b"");
         }
-        if let Ok(mut guest) = TcpStream::connect_timeout(&address, PATIENCE) {
-            let _ = guest.write_all(&request("GET", "/v1/invocations/0000000000000000", &[], b""));
-            staying.push_back(guest);
+        if let Ok(mut connection) = TcpStream::connect_timeout(&address, CLIENT_TIMEOUT) {
+            let _ = connection.write_all(&request("GET", "/v1/invocations/0000000000000000", &[], b""));
+            idle_connections.push_back(connection);
         }
-        if staying.len() > STAYING {
-            staying.pop_front();
+        if idle_connections.len() > MAX_IDLE_CONNECTIONS {
+            idle_connections.pop_front();
         }
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
-fn held(function: &str, key: Option<String>) -> Arrival {
+fn held_call(function: &str, key: Option<String>) -> Arrival {
     let (function, at) = (function.to_string(), Duration::ZERO);
     Arrival { at, function, key, deferred: false, abandoned: false, body: 64 }
 }
 
-/// Unknown names, new names, new keys, deferred calls that nobody collects, connections without end, guests
-/// that never read and bodies that are announced and not sent.
+/// Floods the daemon with unknown function names, new functions, new idempotency keys, deferred calls that nobody collects,
+/// idle connections, clients that never read and request bodies that are never completed.
 fn flood(address: SocketAddr, end: Instant) {
-    let open = || Instant::now() < end;
+    let is_running = || Instant::now() < end;
     std::thread::scope(|scope| {
         scope.spawn(|| {
-            let mut client = Client::new(address, PATIENCE);
-            for number in (0usize..).take_while(|_| open()) {
-                let _ = load::call(&mut client, &held(&format!("unknown-{number}"), None));
+            let mut client = Client::new(address, CLIENT_TIMEOUT);
+            for number in (0usize..).take_while(|_| is_running()) {
+                let _ = load::call(&mut client, &held_call(&format!("unknown-{number}"), None));
             }
         });
         scope.spawn(|| {
-            let mut client = Client::new(address, PATIENCE);
-            for number in (0usize..).take_while(|_| open()) {
+            let mut client = Client::new(address, CLIENT_TIMEOUT);
+            for number in (0usize..).take_while(|_| is_running()) {
                 let name = format!("new-{number}");
                 let _ =
-                    client.ask("PUT", &format!("/v1/functions/{name}"), &[], &function_text(number, "check"));
-                let _ = load::call(&mut client, &held(&name, None));
+                    client.ask("PUT", &format!("/v1/functions/{name}"), &[], &function_json(number, "check"));
+                let _ = load::call(&mut client, &held_call(&name, None));
             }
         });
         for style in ["keys", "deferred"] {
             scope.spawn(move || {
-                let mut client = Client::new(address, PATIENCE);
-                for number in (0usize..).take_while(|_| open()) {
+                let mut client = Client::new(address, CLIENT_TIMEOUT);
+                for number in (0usize..).take_while(|_| is_running()) {
                     let deferred = style == "deferred";
                     let key = Some(format!("{style}-{number}"));
                     let body = if deferred { 12 << 10 } else { 64 };
-                    let call = Arrival { deferred, abandoned: true, body, ..held("post-1", key) };
+                    let call = Arrival { deferred, abandoned: true, body, ..held_call("post-1", key) };
                     let _ = load::call(&mut client, &call);
                 }
             });
         }
         scope.spawn(|| {
-            let mut guests = VecDeque::new();
+            let mut connections = VecDeque::new();
             let half =
                 b"POST /v1/functions/check-1/invocations HTTP/1.1\r\nContent-Length: 16000\r\n\r\nhalf";
             let never_reads = request("GET", "/v1/functions", &[], b"").repeat(50);
-            for number in (0usize..).take_while(|_| open()) {
-                if let Ok(mut guest) = TcpStream::connect_timeout(&address, PATIENCE) {
-                    let _ = guest.set_write_timeout(Some(Duration::from_millis(50)));
+            for number in (0usize..).take_while(|_| is_running()) {
+                if let Ok(mut connection) = TcpStream::connect_timeout(&address, CLIENT_TIMEOUT) {
+                    let _ = connection.set_write_timeout(Some(Duration::from_millis(50)));
                     let _ = match number % 3 {
-                        0 => guest.write_all(half),
-                        1 => guest.write_all(&never_reads),
+                        0 => connection.write_all(half),
+                        1 => connection.write_all(&never_reads),
                         _ => Ok(()),
                     };
-                    guests.push_back(guest);
+                    connections.push_back(connection);
                 }
-                if guests.len() > OFFERED {
-                    guests.pop_front();
+                if connections.len() > MAX_FLOOD_CONNECTIONS {
+                    connections.pop_front();
                 }
                 std::thread::sleep(Duration::from_millis(2));
             }
@@ -183,78 +187,84 @@
     });
 }
 
-/// What a flood of ever new function names came to.
+/// Result of a flood of new function names.
 #[derive(Clone, Debug)]
-pub struct Flooded {
-    /// Resident memory after each quarter, in bytes; the first figure before the flood.
+pub struct FloodResult {
+    /// Resident memory in bytes, before the flood and after each quarter of it.
     pub resident: Vec<f64>,
-    /// Answers to the flood, by method and status.
+    /// Number of answers to the flood, by method and status.
     pub answers: BTreeMap<(&'static str, u16), u64>,
-    /// Answers to calls of a configured function meanwhile, by status.
+    /// Number of answers to concurrent calls of a configured function, by status.
     pub configured: BTreeMap<u16, u64>,
-    /// The accounts at the end.
+    /// The memory accounts at the end.
     pub end: Sample,
 }
 
-/// One `PUT` of a new function and one call of it for each name; a configured function is called meanwhile.
-pub fn names(program: &Path, folder: &Path, count: usize, head: &str) -> io::Result<Flooded> {
+/// Sends one `PUT` of a new function and one call of it for each of `count` names, and calls a configured function
+/// meanwhile.
+pub fn flood_names(program: &Path, folder: &Path, count: usize, head: &str) -> io::Result<FloodResult> {
     let fleet = Fleet::start(
         WORKERS,
-        Kind { work: QUICK, load: QUICK, ..Kind::default() },
+        Kind { work: MINIMAL_DELAY, load: MINIMAL_DELAY, ..Kind::default() },
         FaultSchedule { seed: 1, fault_rate: 0.0 },
     )?;
     let deployment =
         Deployment { head: head.into(), protocol: "http", workers: fleet.addresses(), functions: 4 };
     let daemon = Daemon::start(program, folder, &deployment)?;
     let address = daemon.address;
-    let mut flooded = Flooded {
+    let mut result = FloodResult {
         resident: vec![daemon.resident()?],
         answers: BTreeMap::new(),
         configured: BTreeMap::new(),
         end: Sample::default(),
     };
-    const PARALLEL: usize = 8;
+    const PARALLEL_CLIENTS: usize = 8;
     for quarter in 0..4 {
-        let part = |lane: usize| (quarter * count / 4 + lane..(quarter + 1) * count / 4).step_by(PARALLEL);
+        let numbers = |client_number: usize| {
+            (quarter * count / 4 + client_number..(quarter + 1) * count / 4).step_by(PARALLEL_CLIENTS)
+        };
         let (answers, configured) = std::thread::scope(|scope| {
-            let lanes: Vec<_> = (0..PARALLEL)
-                .map(|lane| {
+            let client_threads: Vec<_> = (0..PARALLEL_CLIENTS)
+                .map(|client_number| {
                     scope.spawn(move || {
-                        let mut client = Client::new(address, PATIENCE);
+                        let mut client = Client::new(address, CLIENT_TIMEOUT);
                         let mut answers: BTreeMap<(&'static str, u16), u64> = BTreeMap::new();
-                        for number in part(lane) {
+                        for number in numbers(client_number) {
                             let name = format!("f-{number}");
                             let path = format!("/v1/functions/{name}");
-                            let put = client.ask("PUT", &path, &[], &function_text(number, "check"));
-                            let call = load::call(&mut client, &held(&name, None));
+                            let put = client.ask("PUT", &path, &[], &function_json(number, "check"));
+                            let call = load::call(&mut client, &held_call(&name, None));
                             for (method, end) in [("PUT", put), ("call", call)] {
-                                *answers.entry((method, end.map_or(0, |one| one.status))).or_default() += 1;
+                                *answers
+                                    .entry((method, end.map_or(0, |response| response.status)))
+                                    .or_default() += 1;
                             }
                         }
                         answers
                     })
                 })
                 .collect();
-            let mut client = Client::new(address, PATIENCE);
+            let mut client = Client::new(address, CLIENT_TIMEOUT);
             let mut configured: BTreeMap<u16, u64> = BTreeMap::new();
-            while !lanes.iter().all(|lane| lane.is_finished()) {
-                let end = load::call(&mut client, &held("check-1", None));
-                *configured.entry(end.map_or(0, |one| one.status)).or_default() += 1;
+            while !client_threads.iter().all(|thread| thread.is_finished()) {
+                let end = load::call(&mut client, &held_call("check-1", None));
+                *configured.entry(end.map_or(0, |response| response.status)).or_default() += 1;
                 std::thread::sleep(Duration::from_millis(5));
             }
-            let answers: Vec<_> = lanes.into_iter().filter_map(|lane| lane.join().ok()).collect();
+            let answers: Vec<_> =
+                client_threads.into_iter().filter_map(|thread| thread.join().ok()).collect();
             (answers, configured)
         });
         answers
             .into_iter()
             .flatten()
-            .for_each(|(kind, count)| *flooded.answers.entry(kind).or_default() += count);
+            .for_each(|(kind, count)| *result.answers.entry(kind).or_default() += count);
         configured
             .into_iter()
-            .for_each(|(status, count)| *flooded.configured.entry(status).or_default() += count);
-        flooded.resident.push(daemon.resident()?);
+            .for_each(|(status, count)| *result.configured.entry(status).or_default() += count);
+        result.resident.push(daemon.resident()?);
     }
-    // The program before there were accounts has no status to look at.
-    flooded.end = daemon.sample(Instant::now(), "end").unwrap_or_default();
-    Ok(flooded)
+    // Old builds without memory accounts don't report them in their status.
+    result.end = daemon.sample(Instant::now(), "end").unwrap_or_default();
+    Ok(result)
 }
--- a/crates/rig/src/verdict/tests.rs
+++ b/crates/rig/src/verdict/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_slope_is_the_slope() {
+fn slope_fits_a_line_and_is_zero_without_one() {
     assert!((slope(&[(0.0, 1.0), (1.0, 3.0), (2.0, 5.0)]) - 2.0).abs() < 1e-9);
     assert_eq!(slope(&[(1.0, 9.0)]), 0.0);
     assert_eq!(slope(&[]), 0.0);
@@ -20,10 +20,10 @@
 }
 
 #[test]
-fn a_leak_is_found_behind_a_flood_and_noise_is_none() {
+fn a_leak_hidden_by_a_flood_is_found_and_noise_is_accepted() {
     assert!(run(|at| 100.0 + 5.0 * (at * 7.0).sin()).flat);
-    assert!(run(|at| if (25.0..75.0).contains(&at) { 500.0 } else { 100.0 }).flat, "a flood that went");
-    assert!(!run(|at| 100.0 + at).flat, "what grows all the time");
+    assert!(run(|at| if (25.0..75.0).contains(&at) { 500.0 } else { 100.0 }).flat, "a flood that ended");
+    assert!(!run(|at| 100.0 + at).flat, "constant growth");
     let covered = run(|at| if (25.0..75.0).contains(&at) { 500.0 } else { 100.0 + at / 2.0 });
-    assert!(covered.growth < 0.0 && !covered.flat, "what a falling flood covers: {covered:?}");
+    assert!(covered.growth < 0.0 && !covered.flat, "growth hidden by the end of a flood: {covered:?}");
 }
--- a/crates/rig/tests/faults.rs
+++ b/crates/rig/tests/faults.rs
@@ -1,7 +1,7 @@
-//! The verdict of a soak under faults against planted breaks of each rule, and two short soaks of the program itself.
+//! Tests the verdict of the fault soak with a violation of each rule, and runs short soaks of the daemon itself.
 use corkbay_rig::faults::records::{Arrival, Asked, At, Drained, End, Records, Span};
 use corkbay_rig::faults::verdict::{judge, Rule};
-use corkbay_rig::faults::{play, Places, Scenario};
+use corkbay_rig::faults::{run, Scenario, SoakPaths};
 use std::path::{Path, PathBuf};
 use std::process::Command;
 use std::time::Duration;
@@ -10,13 +10,13 @@
 const POST: usize = 1;
 const ONCE: usize = 2;
 
-/// A request that came at 1 s, has a second, and was served after 0.1 s.
+/// A request sent at 1 s with a timeout of 1 s, served after 0.1 s.
 fn asked(class: usize) -> Asked {
     let ends = vec![(End::Served, 1100.0)];
     Asked { id: 7, class, daemon: 0, at: 1000.0, allowed: 1000.0, gone_at: None, ends, broken_at: None }
 }
 
-/// Its attempt at worker 1 in rack 1, which was carried out.
+/// The attempt of that request at worker 1 in cell 1, which ran.
 fn arrival(at: At) -> Arrival {
     Arrival { id: 7, worker: 1, rack: 1, at, left: 2000.0 - at, ran: true }
 }
@@ -26,24 +26,24 @@
 }
 
 fn rules(records: &Records) -> Vec<Rule> {
-    judge(records).into_iter().map(|found| found.rule).collect()
+    judge(records).into_iter().map(|violation| violation.rule).collect()
 }
 
 #[test]
-fn what_keeps_the_rules_is_no_break() {
+fn allowed_behaviour_is_not_a_violation() {
     for class in [CHECK, POST, ONCE] {
         assert_eq!(rules(&records(asked(class), vec![arrival(1010.0)])), []);
     }
-    let within = vec![arrival(1010.0), Arrival { worker: 3, ..arrival(1300.0) }];
-    assert_eq!(rules(&records(asked(POST), within)), [], "in the rack and the window");
-    let unharmed = vec![Arrival { ran: false, ..arrival(1010.0) }, arrival(1050.0)];
-    assert_eq!(rules(&records(asked(ONCE), unharmed)), [], "the first never ran");
-    let again = vec![arrival(1010.0), Arrival { rack: 0, ..arrival(1900.0) }];
-    assert_eq!(rules(&records(asked(CHECK), again)), [], "it may be repeated");
+    let repeat_in_window = vec![arrival(1010.0), Arrival { worker: 3, ..arrival(1300.0) }];
+    assert_eq!(rules(&records(asked(POST), repeat_in_window)), [], "in the same cell and within the window");
+    let first_not_run = vec![Arrival { ran: false, ..arrival(1010.0) }, arrival(1050.0)];
+    assert_eq!(rules(&records(asked(ONCE), first_not_run)), [], "the first attempt did not run");
+    let repeat = vec![arrival(1010.0), Arrival { rack: 0, ..arrival(1900.0) }];
+    assert_eq!(rules(&records(asked(CHECK), repeat)), [], "its class allows repeats");
 }
 
 #[test]
-fn a_request_without_its_one_answer_in_time_is_found() {
+fn a_missing_late_or_second_answer_is_a_violation() {
     let unanswered = Asked { ends: Vec::new(), ..asked(CHECK) };
     let late = Asked { ends: vec![(End::Failed, 2600.0)], ..asked(CHECK) };
     let twice = Asked { ends: vec![(End::Served, 1100.0), (End::Served, 1101.0)], ..asked(CHECK) };
@@ -52,48 +52,52 @@
         assert_eq!(rules(&records(planted.clone(), Vec::new())), [Rule::Lost], "{planted:?}");
     }
     let gone = Asked { gone_at: Some(1050.0), ..unanswered };
-    assert_eq!(rules(&records(gone, Vec::new())), [], "nothing is owed");
+    assert_eq!(rules(&records(gone, Vec::new())), [], "the client cancelled, so no answer is needed");
     let killed = Records { killed: vec![(0, 1190.0)], ..records(closed.clone(), Vec::new()) };
-    assert_eq!(rules(&killed), [], "its process was killed without a word");
-    let crossed = Asked { broken_at: Some(1030.0), ..closed };
-    assert_eq!(rules(&records(crossed.clone(), Vec::new())), [], "it crossed the end of its connection");
-    assert_eq!(rules(&records(crossed, vec![arrival(1010.0)])), [Rule::Lost], "it was read, and sent on");
+    assert_eq!(rules(&killed), [], "its daemon was killed");
+    let raced = Asked { broken_at: Some(1030.0), ..closed };
+    assert_eq!(rules(&records(raced.clone(), Vec::new())), [], "it was sent just as its connection ended");
+    assert_eq!(
+        rules(&records(raced, vec![arrival(1010.0)])),
+        [Rule::Lost],
+        "it was read and sent to a worker"
+    );
     let paused = vec![Span { daemon: 0, from: 1200.0, to: 1700.0 }];
-    assert_eq!(rules(&Records { paused, ..records(late, Vec::new()) }), [], "its process stood still");
+    assert_eq!(rules(&Records { paused, ..records(late, Vec::new()) }), [], "its daemon was stopped");
 }
 
 #[test]
-fn what_is_sent_again_beyond_its_class_is_found() {
-    let later = |at| vec![arrival(1010.0), arrival(at)];
-    assert_eq!(rules(&records(asked(ONCE), later(1020.0))), [Rule::Duplicate]);
-    assert_eq!(rules(&records(asked(POST), later(1400.0))), [Rule::Duplicate], "behind the window");
-    let elsewhere = vec![arrival(1010.0), Arrival { rack: 0, ..arrival(1020.0) }];
-    assert_eq!(rules(&records(asked(POST), elsewhere)), [Rule::Duplicate], "in another rack");
+fn a_repeat_that_its_class_forbids_is_a_violation() {
+    let repeated_at = |at| vec![arrival(1010.0), arrival(at)];
+    assert_eq!(rules(&records(asked(ONCE), repeated_at(1020.0))), [Rule::Duplicate]);
+    assert_eq!(rules(&records(asked(POST), repeated_at(1400.0))), [Rule::Duplicate], "after the window");
+    let other_cell = vec![arrival(1010.0), Arrival { rack: 0, ..arrival(1020.0) }];
+    assert_eq!(rules(&records(asked(POST), other_cell)), [Rule::Duplicate], "in another cell");
     let refused = Asked { ends: vec![(End::Refused, 1500.0)], ..asked(POST) };
-    assert_eq!(rules(&records(refused, vec![arrival(1010.0)])), [Rule::Duplicate], "refused though it ran");
+    assert_eq!(rules(&records(refused, vec![arrival(1010.0)])), [Rule::Duplicate], "refused although it ran");
 }
 
 #[test]
-fn attempts_for_nobody_with_too_much_time_or_to_a_draining_worker_are_found() {
+fn attempts_after_a_cancel_with_too_much_time_or_to_a_draining_worker_are_violations() {
     let gone = Asked { gone_at: Some(1050.0), ends: Vec::new(), ..asked(CHECK) };
     assert_eq!(rules(&records(gone.clone(), vec![arrival(1200.0)])), [Rule::ClientGone]);
     assert_eq!(rules(&records(gone, vec![arrival(1100.0)])), []);
-    let told = Arrival { left: 1300.0, ..arrival(1010.0) };
-    assert_eq!(rules(&records(asked(CHECK), vec![told])), [Rule::Deadline]);
+    let sent_too_long = Arrival { left: 1300.0, ..arrival(1010.0) };
+    assert_eq!(rules(&records(asked(CHECK), vec![sent_too_long])), [Rule::Deadline]);
     let drained = |told_at| vec![Drained { worker: 1, daemon: 0, told_at }];
     let late = Records { drained: drained(-1200.0), ..records(asked(CHECK), vec![arrival(1010.0)]) };
     assert_eq!(rules(&late), [Rule::Drain]);
-    let soon = Records { drained: drained(-900.0), ..records(asked(CHECK), vec![arrival(1010.0)]) };
-    assert_eq!(rules(&soon), []);
+    let in_grace = Records { drained: drained(-900.0), ..records(asked(CHECK), vec![arrival(1010.0)]) };
+    assert_eq!(rules(&in_grace), []);
 }
 
 #[test]
-fn a_process_that_ends_by_itself_is_found() {
+fn a_process_that_exits_by_itself_is_a_violation() {
     let crashed = Records { crashed: vec![(0, 5.0)], ..Records::default() };
     assert_eq!(rules(&crashed), [Rule::Crash]);
 }
 
-/// The library that steps clocks and fails system calls, built here.
+/// Builds the preload library that steps clocks and fails system calls, and returns its path.
 fn shim(target: &Path) -> PathBuf {
     let cargo = std::env::var("CARGO").unwrap_or_else(|_| "cargo".to_string());
     let manifest = Path::new(env!("CARGO_MANIFEST_DIR")).join("../shim/Cargo.toml");
@@ -103,8 +107,9 @@
     target.join("libcorkbay_shim.so")
 }
 
-/// Seeds that drew each kind of trouble and a crowd; how long their clients send.
+/// Seeds whose scenarios together contain each kind of fault and one-shot clients.
 const SEEDS: [u64; 4] = [2, 3, 4, 9];
+/// How long clients send requests.
 const SPAN: Duration = Duration::from_secs(12);
 
 #[test]
@@ -116,8 +121,8 @@
     let folder = std::env::temp_dir().join(format!("corkbay-faults-{}", std::process::id()));
     for seed in SEEDS {
         let places =
-            Places { program: program.clone(), shim: shim.clone(), folder: folder.join(seed.to_string()) };
-        let outcome = play(Scenario::draw(seed, SPAN), seed, &places).expect("plays");
+            SoakPaths { program: program.clone(), shim: shim.clone(), folder: folder.join(seed.to_string()) };
+        let outcome = run(Scenario::draw(seed, SPAN), seed, &places).expect("the soak runs");
         let breaks: Vec<String> = outcome.breaks.iter().map(ToString::to_string).collect();
         assert!(breaks.is_empty(), "seed {seed}, files in {}: {breaks:#?}", folder.display());
         assert!(outcome.within_limits, "seed {seed}: {:?}", outcome.peaks);
--- a/crates/rig/tests/soak.rs
+++ b/crates/rig/tests/soak.rs
@@ -1,4 +1,4 @@
-//! The soak's verdict against a planted leak, and a short soak of the program itself.
+//! Tests the soak's verdict with a deliberate leak, and runs a short soak of the daemon itself.
 use corkbay_ledger::{Account, Reservation};
 use corkbay_rig::load::Group;
 use corkbay_rig::soak::{Soak, STEADY};
@@ -6,23 +6,23 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// A run on a real account; every so many-th reservation is never returned.
-fn run(forgets: Option<usize>) -> Vec<Finding> {
+/// Judges a simulated run on a real account. Every n-th step leaks its reservations, if n is given.
+fn run(leak_every: Option<usize>) -> Vec<Finding> {
     let account = Account::root("calls", 1 << 20);
-    let mut held: VecDeque<Reservation> = VecDeque::new();
+    let mut reservations: VecDeque<Reservation> = VecDeque::new();
     let mut samples = Vec::new();
     for step in 0..4000usize {
         let flooding = (1000..3000).contains(&step);
         for part in 0..if flooding { 20 } else { 2 } {
-            // What does not fit is refused, as in a flood.
+            // Reservations beyond the cap are refused, as in a flood.
             let Ok(reservation) = account.reserve(512 + 16 * part) else { continue };
-            match forgets {
+            match leak_every {
                 Some(every) if step % every == 0 => std::mem::forget(reservation),
-                _ => held.push_back(reservation),
+                _ => reservations.push_back(reservation),
             }
         }
-        while held.len() > if flooding { 400 } else { 40 } {
-            held.pop_front();
+        while reservations.len() > if flooding { 400 } else { 40 } {
+            reservations.pop_front();
         }
         let (used, peak, cap) = (account.used() as f64, account.peak() as f64, account.cap() as f64);
         samples.push(Sample {
@@ -35,19 +35,19 @@
     judge(&samples, STEADY, Bounds::default())
 }
 
-/// Guards the verdict itself: a soak that finds no planted leak finds no other.
+/// Guards against a verdict that misses leaks: reservations that are never returned must make it fail.
 #[test]
 fn an_account_whose_reservations_are_never_returned_fails_the_verdict() {
     assert!(run(None).iter().all(|finding| finding.flat), "{:?}", run(None));
     for every in [1, 10, 40] {
-        let leaky = run(Some(every));
-        let calls = leaky.iter().find(|finding| finding.series == "calls").expect("judged");
+        let findings = run(Some(every));
+        let calls = findings.iter().find(|finding| finding.series == "calls").expect("judged");
         assert!(!calls.flat, "one in {every}: {calls:?}");
     }
 }
 
-/// A minute of an hour's turnover against the started program. The program is built with the tests of its own
-/// package, beside these; bounds leave room for a run this short, in which much is touched for the first time.
+/// Runs a soak of one minute against the daemon, which is built together with the tests of its package. The bounds are wider
+/// than the default, because a large part of the memory is touched for the first time in such a short run.
 #[test]
 fn a_minute_of_turnover_leaves_memory_flat() {
     let tests = std::env::current_exe().expect("this test");
@@ -57,18 +57,18 @@
     let (span, seed) = (Duration::from_secs(60), 11);
     println!("seed {seed}");
     let soak = Soak { span, seed, program, folder: folder.clone(), head: "memory_mb = 64".into() };
-    let (samples, outcome) = soak.run().expect("runs");
+    let (samples, outcome) = soak.run().expect("the soak runs");
     let bounds = Bounds { touched: 16.0 * 1024.0 * 1024.0, account: 0.15, ..Bounds::default() };
     let findings = judge(&samples, STEADY, bounds);
     assert!(findings.len() > 20 && samples.len() > 60, "{} samples", samples.len());
-    let held = |finding: &&Finding| !finding.flat;
-    let grown: Vec<&Finding> = findings.iter().filter(held).collect();
-    assert!(grown.is_empty(), "{grown:?}");
+    let has_grown = |finding: &&Finding| !finding.flat;
+    let not_flat: Vec<&Finding> = findings.iter().filter(has_grown).collect();
+    assert!(not_flat.is_empty(), "{not_flat:?}");
     let served: u64 = outcome.values().filter_map(|group| group.statuses.get(&200)).sum();
     let asked: u64 = outcome.values().map(Group::count).sum();
-    assert!(served * 2 > asked, "{served} of {asked}: the configured are served through it all");
-    let refused =
+    assert!(served * 2 > asked, "{served} of {asked}: calls to configured functions are served throughout");
+    let has_near_full_account =
         samples.last().expect("samples").accounts.values().any(|account| account.peak >= 0.9 * account.cap);
-    assert!(refused, "some cap was pushed");
+    assert!(has_near_full_account, "some account came close to its cap");
     let _ = std::fs::remove_dir_all(folder);
 }
--- a/crates/shim/src/control.rs
+++ b/crates/shim/src/control.rs
@@ -1,18 +1,18 @@
-//! The control file: where it is mapped, and what it says of the clock and of each call.
+//! Maps the control file and reads the clock offset and the faults of each call from it.
 use libc::{c_char, c_int, c_void};
 use std::ptr::null_mut;
 use std::sync::atomic::{AtomicI64, AtomicPtr, AtomicU64, Ordering};
 
-/// Bytes of the control file.
-pub const PAGE: usize = 4096;
-/// The word at which the faults begin.
-pub const FIRST_FAULT: usize = 8;
-/// Words of one fault.
+/// Size of the control file, in bytes.
+pub const CONTROL_FILE_BYTES: usize = 4096;
+/// Index of the first word of the faults.
+pub const FIRST_FAULT_WORD: usize = 8;
+/// Number of words for each kind of call.
 pub const WORDS_PER_FAULT: usize = 4;
 
-const NAME: &[u8] = b"CORKBAY_SHIM\0";
+const CONTROL_FILE_VARIABLE: &[u8] = b"CORKBAY_SHIM\0";
 
-/// Calls that can be failed, in the order of their words.
+/// System calls that can be failed, in the order of their words in the control file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Call {
     /// `accept4`
@@ -37,11 +37,11 @@
     Truncate,
 }
 
-/// What becomes of a call.
-pub(crate) enum Verdict {
+/// What to do with a call.
+pub(crate) enum Action {
     Pass,
     Fail(c_int),
-    /// Half of its bytes.
+    /// Transfer only half of the bytes.
     Short,
 }
 
@@ -50,12 +50,12 @@
 /// Maps the control file before `main` runs.
 #[used]
 #[link_section = ".init_array"]
-static AT_START: extern "C" fn() = map;
+static MAP_AT_START: extern "C" fn() = map_control_file;
 
-extern "C" fn map() {
-    // SAFETY: both texts end with a zero byte, and the mapping lasts for as long as the process.
+extern "C" fn map_control_file() {
+    // SAFETY: both strings end with a zero byte, and the mapping lasts for as long as the process.
     unsafe {
-        let path = libc::getenv(NAME.as_ptr().cast::<c_char>());
+        let path = libc::getenv(CONTROL_FILE_VARIABLE.as_ptr().cast::<c_char>());
         if path.is_null() {
             return;
         }
@@ -64,7 +64,7 @@
             return;
         }
         let access = libc::PROT_READ | libc::PROT_WRITE;
-        let page = libc::mmap(null_mut::<c_void>(), PAGE, access, libc::MAP_SHARED, file, 0);
+        let page = libc::mmap(null_mut::<c_void>(), CONTROL_FILE_BYTES, access, libc::MAP_SHARED, file, 0);
         libc::close(file);
         if page != libc::MAP_FAILED {
             MAPPED.store(page.cast(), Ordering::Release);
@@ -72,14 +72,14 @@
     }
 }
 
-/// A word of the control file; `None` where there is no file.
-fn word(at: usize) -> Option<&'static AtomicU64> {
+/// Returns a word of the control file; `None` if no file is mapped.
+fn word(index: usize) -> Option<&'static AtomicU64> {
     let page = MAPPED.load(Ordering::Acquire);
     // SAFETY: the page has room for that many words, is aligned and is never unmapped.
-    (!page.is_null() && at < PAGE / 8).then(|| unsafe { &*page.add(at) })
+    (!page.is_null() && index < CONTROL_FILE_BYTES / 8).then(|| unsafe { &*page.add(index) })
 }
 
-/// How far the wall clock is off, in nanoseconds.
+/// Returns the offset of the wall clock, in nanoseconds.
 pub(crate) fn clock_offset() -> i64 {
     let page = MAPPED.load(Ordering::Acquire).cast::<AtomicI64>();
     // SAFETY: as above, for the first word.
@@ -90,23 +90,23 @@
     }
 }
 
-/// Counts a call and tells what is to become of it.
-pub(crate) fn judge(call: Call) -> Verdict {
-    let first = FIRST_FAULT + call as usize * WORDS_PER_FAULT;
+/// Counts a call and decides whether it fails.
+pub(crate) fn next_action(call: Call) -> Action {
+    let first = FIRST_FAULT_WORD + call as usize * WORDS_PER_FAULT;
     let words = [word(first), word(first + 1), word(first + 2), word(first + 3)];
-    let [Some(period), Some(error), Some(left), Some(seen)] = words else { return Verdict::Pass };
+    let [Some(period), Some(error), Some(remaining), Some(call_count)] = words else { return Action::Pass };
     let period = period.load(Ordering::Relaxed);
     if period == 0 {
-        return Verdict::Pass;
+        return Action::Pass;
     }
-    let count = seen.fetch_add(1, Ordering::Relaxed) + 1;
-    let spend = |left: u64| left.checked_sub(1);
+    let count = call_count.fetch_add(1, Ordering::Relaxed) + 1;
+    let decrement = |remaining: u64| remaining.checked_sub(1);
     let is_due = count.is_multiple_of(period);
-    if !is_due || left.fetch_update(Ordering::Relaxed, Ordering::Relaxed, spend).is_err() {
-        return Verdict::Pass;
+    if !is_due || remaining.fetch_update(Ordering::Relaxed, Ordering::Relaxed, decrement).is_err() {
+        return Action::Pass;
     }
     match error.load(Ordering::Relaxed) as c_int {
-        0 => Verdict::Short,
-        error => Verdict::Fail(error),
+        0 => Action::Short,
+        error => Action::Fail(error),
     }
 }
