--- a/crates/rig/src/grow/bounds.rs
+++ b/crates/rig/src/grow/bounds.rs
@@ -1,33 +1,33 @@
-//! How what an invoker needs may grow with the workers, as the operators' standing page states it.
-use super::day::Reading;
+//! Upper bounds for the growth of an invoker's resource use with the number of workers, as the operators require them.
+use super::run::Reading;
 use serde::Serialize;
 
 const MIB: f64 = (1 << 20) as f64;
 const KIB: f64 = 1024.0;
-const THOUSAND: f64 = 1000.0;
+const WORKERS_PER_THOUSAND: f64 = 1000.0;
 
-/// A figure at one size beside the most, or least, that it may be there.
+/// A measured figure at one fleet size, with the upper or lower bound that applies to it.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Row {
     /// What was measured.
     pub figure: &'static str,
-    /// Its unit.
+    /// Unit of the figure.
     pub unit: &'static str,
-    /// Workers.
+    /// Number of workers.
     pub workers: usize,
-    /// With the fewest workers.
+    /// The figure at the baseline size.
     pub before: f64,
-    /// With so many.
+    /// The figure with `workers` workers.
     pub value: f64,
-    /// Over the figure with the fewest workers.
+    /// `value` divided by `before`.
     pub ratio: f64,
-    /// What it may be.
+    /// The bound: a minimum for the share served, a maximum for all other figures.
     pub bound: f64,
-    /// Whether it keeps to that.
+    /// Whether `value` is within the bound.
     pub is_kept: bool,
 }
 
-/// A part of the figure at the usual size, something more, and something more for each thousand workers.
+/// A bound: a multiple of the baseline figure, plus a constant, plus an amount per thousand workers.
 struct Growth {
     times: f64,
     plus: f64,
@@ -36,14 +36,14 @@
 
 impl Growth {
     fn bound(&self, before: f64, workers: usize) -> f64 {
-        self.times * before + self.plus + self.per_thousand * workers as f64 / THOUSAND
+        self.times * before + self.plus + self.per_thousand * workers as f64 / WORKERS_PER_THOUSAND
     }
 }
 
-/// The least share served, as a part of that at the usual size.
-const LEAST_SHARE: f64 = 0.85;
+/// Minimum share of requests served, as a fraction of the share at the baseline size.
+const MIN_SERVED_FRACTION: f64 = 0.85;
 
-/// The table of growth from one size to another.
+/// Compares each figure of `now` with the baseline `before` and checks it against its bound.
 pub fn table(before: &Reading, now: &Reading) -> Vec<Row> {
     let rows = [
         ("CPU", "s", before.cpu_s, now.cpu_s, Growth { times: 1.4, plus: 0.02, per_thousand: 0.03 }),
@@ -84,7 +84,7 @@
             Row { figure, unit, workers: now.workers, before, value, ratio, bound, is_kept }
         })
         .collect();
-    let bound = LEAST_SHARE * before.served;
+    let bound = MIN_SERVED_FRACTION * before.served;
     table.push(Row {
         figure: "share served",
         unit: "of requests",
--- a/crates/rig/src/grow/daemon.rs
+++ b/crates/rig/src/grow/daemon.rs
@@ -1,4 +1,4 @@
-//! The daemon of a day, on the platform's front, held to its share of a core.
+//! The daemon under test: it serves the platform's front and can be limited to a share of a core.
 use crate::faults::channel::Channel;
 use crate::faults::process::settings;
 use crate::scale::process::{usage, OwnedChild, Usage};
@@ -13,49 +13,49 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Descriptors that the configuration allows.
-const DESCRIPTORS: u64 = 544;
-/// Invokers that the fleet is said to serve.
-const INVOKERS: u32 = 300;
-const READY_WITHIN: Duration = Duration::from_secs(30);
-/// How often its processor time is looked at.
-const LOOK: Duration = Duration::from_millis(1);
-const KIB: f64 = 1024.0;
-/// Processor time that it may use beyond its share so far, as a span at its share.
-const BURST: Duration = Duration::from_millis(20);
+/// Maximum number of descriptors in the daemon's configuration.
+const MAX_DESCRIPTORS: u64 = 544;
+/// Number of invokers that share the fleet, as the configuration states it.
+const FLEET_INVOKERS: u32 = 300;
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
+/// Interval at which the daemon's CPU time and its readiness are checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(1);
+const BYTES_PER_KIB: f64 = 1024.0;
+/// Burst allowance: CPU time that the daemon may be ahead of its share, as wall-clock time at that share.
+const BURST_ALLOWANCE: Duration = Duration::from_millis(20);
 
-/// A daemon that is ended with this value.
+/// A running daemon process; it is killed when this value is dropped.
 pub struct Daemon {
     child: Arc<OwnedChild>,
-    /// Where its clients come.
+    /// The address that accepts client connections.
     pub address: SocketAddr,
     log: PathBuf,
-    /// From its start until it took connections.
+    /// Time from the start until connections were accepted.
     pub ready_after: Duration,
     is_running: Arc<AtomicBool>,
     throttle: Option<JoinHandle<()>>,
 }
 
-/// How the daemon is set up.
+/// Configuration of the daemon.
 pub struct Setup<'a> {
-    /// Its program.
+    /// Path of the daemon's executable.
     pub program: &'a Path,
-    /// For its files.
+    /// Folder for the daemon's files.
     pub folder: &'a Path,
-    /// Zones, its own first.
+    /// Zone names; the daemon's own zone comes first.
     pub zones: &'a [String],
-    /// How long clients wait, in milliseconds.
+    /// Client timeout, in milliseconds.
     pub allowed_ms: u64,
-    /// The window of the keyed class, in milliseconds.
+    /// Deduplication window of the class with idempotency keys, in milliseconds.
     pub window_ms: u64,
-    /// The share of a core that it gets; all it wants without.
+    /// Share of a core that the daemon may use (1.0 is a whole core); unlimited if `None`.
     pub core_share: Option<f64>,
-    /// The memory that it may take.
+    /// Memory limit, in MB.
     pub memory_mb: u64,
 }
 
 impl Daemon {
-    /// Starts it and waits until it takes connections.
+    /// Starts the daemon and waits until it accepts connections.
     pub fn start(setup: &Setup<'_>, channel: &Channel) -> io::Result<Self> {
         std::fs::create_dir_all(setup.folder)?;
         let config = setup.folder.join("config.json");
@@ -73,39 +73,41 @@
         let mut daemon =
             Daemon { child, address, log: log_path, ready_after: Duration::ZERO, is_running, throttle };
         while TcpStream::connect(address).is_err() {
-            if began.elapsed() > READY_WITHIN {
-                return Err(io::Error::other("the daemon is not ready in its time"));
+            if began.elapsed() > READY_TIMEOUT {
+                return Err(io::Error::other(
+                    "the daemon did not accept connections within the start timeout",
+                ));
             }
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
         }
         daemon.ready_after = began.elapsed();
         Ok(daemon)
     }
 
-    /// What it has used so far.
+    /// CPU time used so far and current resident memory.
     pub fn usage(&self) -> io::Result<Usage> {
         self.child.usage()
     }
 
-    /// Its most resident bytes since its start.
+    /// Peak resident memory since the start, in bytes.
     pub fn peak_resident(&self) -> io::Result<f64> {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))?;
         let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
         let kib = line.and_then(|rest| rest.trim().trim_end_matches(" kB").parse::<f64>().ok());
-        Ok(kib.ok_or_else(|| io::Error::other("no peak is told"))? * KIB)
+        Ok(kib.ok_or_else(|| io::Error::other("/proc status has no VmHWM line"))? * BYTES_PER_KIB)
     }
 
-    /// What it has logged.
+    /// Contents of the daemon's log.
     pub fn log(&self) -> io::Result<String> {
         std::fs::read_to_string(&self.log)
     }
 
-    /// Has it log its counters and accounts.
+    /// Makes the daemon log its counters and memory accounts.
     pub fn log_counters(&self) -> io::Result<()> {
         self.child.log_counters()
     }
 
-    /// Descriptors that it holds open.
+    /// Number of descriptors that the daemon has open.
     pub fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).map_or(0, Iterator::count)
     }
@@ -130,33 +132,33 @@
     )
 }
 
-/// An address where nothing listens yet, on a loopback host that no other process of this machine uses.
+/// Returns a free address on a loopback host derived from the process id, so that parallel test processes don't collide.
 fn free_address() -> io::Result<SocketAddr> {
     let process = std::process::id();
-    let own = Ipv4Addr::new(127, 59, (process >> 8) as u8, (process as u8).max(1));
-    TcpListener::bind((own, 0))?.local_addr()
+    let host = Ipv4Addr::new(127, 59, (process >> 8) as u8, (process as u8).max(1));
+    TcpListener::bind((host, 0))?.local_addr()
 }
 
-/// Stops the process whenever it has used more than its share, until it has not any more.
+/// Limits the process to its share of a core: suspends it while its CPU time exceeds the share plus the burst allowance.
 fn throttle(child: &OwnedChild, share: f64, is_running: &AtomicBool) {
     let began = Instant::now();
     let mut is_stopped = false;
-    // The process may have ended.
+    // Reading the usage fails once the process has ended; the loop ends then.
     while let (true, Ok(used)) = (is_running.load(Ordering::Relaxed), usage(child.id())) {
-        let allowed = (began.elapsed() + BURST).as_secs_f64() * share;
-        let is_over = used.cpu_s > allowed;
-        if is_over != is_stopped {
-            let _ = if is_over { child.suspend() } else { child.resume() };
-            is_stopped = is_over;
+        let allowed = (began.elapsed() + BURST_ALLOWANCE).as_secs_f64() * share;
+        let exceeds_share = used.cpu_s > allowed;
+        if exceeds_share != is_stopped {
+            let _ = if exceeds_share { child.suspend() } else { child.resume() };
+            is_stopped = exceeds_share;
         }
-        std::thread::sleep(LOOK);
+        std::thread::sleep(POLL_INTERVAL);
     }
     let _ = child.resume();
 }
 
 fn configuration(setup: &Setup<'_>, channel: &Channel) -> serde_json::Value {
     let mut settings = settings(setup.allowed_ms, setup.window_ms);
-    settings["balancers"] = json!(INVOKERS);
+    settings["balancers"] = json!(FLEET_INVOKERS);
     settings["zones"] = json!(setup.zones);
     settings["myZone"] = json!(setup.zones[0]);
     settings["specifics"] = json!({"answerWithinMs": 4000.0, "keepMs": 8000.0, "notLoaded": "miss",
@@ -164,7 +166,7 @@
     settings["prices"] = json!({"crossZone": 0.04, "probe": 0.011, "origin": 0.03});
     json!({
         "name": "n0", "listen": "127.0.0.1:1", "seed": "0000000000000001",
-        "limits": {"cores": setup.core_share.unwrap_or(1.0), "memory_mb": setup.memory_mb, "sockets": DESCRIPTORS},
+        "limits": {"cores": setup.core_share.unwrap_or(1.0), "memory_mb": setup.memory_mb, "sockets": MAX_DESCRIPTORS},
         "channel": channel.address.to_string(), "known": channel.known(), "settings": settings
     })
 }
--- a/crates/rig/src/grow/day.rs
+++ b/crates/rig/src/grow/run.rs
@@ -1,6 +1,6 @@
-//! One day of a daemon before a fleet of a size.
+//! One run: a daemon serves requests with a fleet of a given size, through a sequence of phases.
 use super::daemon::{Daemon, Setup};
-use super::workers::HollowWorkers;
+use super::workers::SimulatedWorkers;
 use crate::faults::channel::Channel;
 use crate::faults::client::{self, FunctionMix, Target};
 use crate::faults::log::Log;
@@ -18,92 +18,94 @@
 const RACKS: usize = 18;
 const FUNCTIONS: u64 = 40;
 const CLIENTS: usize = 4;
-const WINDOW_MS: u64 = 3000;
-/// A release replaces this part of the workers, in so many steps.
-const RELEASED: usize = 3;
+const DEDUP_WINDOW_MS: u64 = 3000;
+/// A release replaces one in this many workers.
+const RELEASED_ONE_IN: usize = 3;
+/// Number of steps of a release.
 const RELEASE_STEPS: usize = 7;
-/// How long a zone that was lost stays away, and how long discovery is silent, as parts of a phase.
-const ZONE_AWAY: f64 = 0.6;
-const SILENCE: f64 = 0.6;
-/// What a daemon logs that has no room for all workers.
-const LEFT_OUT: &str = "there is no room for all workers";
-const LOOK: Duration = Duration::from_millis(20);
-/// What is still owed at the end has its time and a little more.
-const LAST_ANSWERS: Duration = Duration::from_millis(1000);
+/// Fraction of the phase for which a lost zone stays away.
+const ZONE_OUTAGE_FRACTION: f64 = 0.6;
+/// Fraction of the phase for which discovery is silent.
+const SILENCE_FRACTION: f64 = 0.6;
+/// Text that the daemon logs when its memory doesn't hold all listed workers.
+const NO_ROOM_LOG_TEXT: &str = "there is no room for all workers";
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Extra time, after the client timeout, for requests that are unanswered at the end of the run.
+const FINAL_ANSWER_GRACE: Duration = Duration::from_millis(1000);
 
-/// What a day consists of, in its order.
+/// What happens to the fleet during one phase of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub enum Phase {
-    /// Nothing happens.
+    /// No injected fault.
     Steady,
-    /// More than half of the calls are of one function.
+    /// More than half of the calls go to one function.
     HotFunction,
-    /// A third of the workers is replaced by others that start cold.
+    /// A third of the workers is replaced by new ones with no models loaded.
     Release,
-    /// The workers of a zone end and come back with nothing loaded.
+    /// The workers of one zone end and come back with no models loaded.
     ZoneLost,
-    /// Discovery breaks off, tells nothing, and comes back.
+    /// The discovery connection breaks, stays silent, and comes back.
     DiscoverySilent,
 }
 
-/// All phases.
+/// All phases, in the order in which a run executes them by default.
 pub const PHASES: [Phase; 5] =
     [Phase::Steady, Phase::HotFunction, Phase::Release, Phase::ZoneLost, Phase::DiscoverySilent];
 
-/// A day.
+/// Parameters of one run.
 #[derive(Clone, Debug)]
-pub struct Day {
-    /// Workers at a time.
+pub struct GrowthRun {
+    /// Number of workers listed at a time.
     pub workers: usize,
-    /// What happens, in this order.
+    /// Phases, in the order in which they are executed.
     pub phases: Vec<Phase>,
-    /// How long each phase takes.
+    /// Duration of each phase.
     pub phase: Duration,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// How long clients wait, in milliseconds.
+    /// Client timeout, in milliseconds.
     pub allowed_ms: u64,
-    /// The share of a core that the daemon gets; all it wants without.
+    /// Share of a core that the daemon may use (1.0 is a whole core); unlimited if `None`.
     pub core_share: Option<f64>,
-    /// The memory that the daemon may take.
+    /// Memory limit of the daemon, in MB.
     pub memory_mb: u64,
-    /// What draws follow from.
+    /// Seed of the random draws.
     pub seed: u64,
-    /// The daemon's program.
+    /// Path of the daemon's executable.
     pub program: PathBuf,
-    /// Where its files go.
+    /// Folder for the daemon's files.
     pub folder: PathBuf,
 }
 
-/// What a day showed.
+/// Measurements of one run.
 #[derive(Debug)]
 pub struct Reading {
-    /// Workers at a time.
+    /// Number of workers listed at a time.
     pub workers: usize,
-    /// From the start until connections were taken.
+    /// Time from the daemon's start until it accepted connections.
     pub ready_after: Duration,
-    /// Processor time of the daemon over the whole day, in seconds.
+    /// CPU time of the daemon over the whole run, in seconds.
     pub cpu_s: f64,
-    /// Its most resident bytes.
+    /// Peak resident memory of the daemon, in bytes.
     pub peak_resident: f64,
-    /// Its most open descriptors.
+    /// Peak number of open descriptors of the daemon.
     pub peak_descriptors: f64,
-    /// Connections that workers took.
+    /// Number of connections that workers accepted.
     pub connections_made: f64,
-    /// Bytes that the command channel told.
+    /// Bytes that the command channel sent.
     pub list_bytes: f64,
-    /// Requests that were asked.
+    /// Number of requests sent.
     pub asked: usize,
-    /// The part of them that was served.
+    /// Fraction of the requests that were served, leaving out those that clients abandoned.
     pub served: f64,
-    /// Workers were listed that the daemon had no room for.
+    /// Whether the daemon had no room for some of the listed workers.
     pub left_workers_out: bool,
-    /// Rules that were broken.
+    /// Rule violations found in the records.
     pub breaks: Vec<Break>,
 }
 
 impl Reading {
-    /// How often each rule was broken.
+    /// Number of violations of each rule.
     pub fn breaks_by_rule(&self) -> BTreeMap<Rule, usize> {
         let mut counts = BTreeMap::new();
         self.breaks.iter().for_each(|found| *counts.entry(found.rule).or_default() += 1);
@@ -111,21 +113,21 @@
     }
 }
 
-impl Day {
-    /// Plays the day.
-    pub fn play(&self) -> io::Result<Reading> {
+impl GrowthRun {
+    /// Executes the run and returns its measurements.
+    pub fn execute(&self) -> io::Result<Reading> {
         let fleet = Fleet::start(self)?;
         let setup = Setup {
             program: &self.program,
             folder: &self.folder,
             zones: &ZONES.map(String::from),
             allowed_ms: self.allowed_ms,
-            window_ms: WINDOW_MS,
+            window_ms: DEDUP_WINDOW_MS,
             core_share: self.core_share,
             memory_mb: self.memory_mb,
         };
         let daemon = Daemon::start(&setup, &fleet.channel)?;
-        let flags = Flags::default();
+        let flags = ClientFlags::default();
         let target = Target {
             daemon: 0,
             address: daemon.address,
@@ -142,14 +144,14 @@
             })
             .collect();
         let mut peak_descriptors = 0.0_f64;
-        let mut look = || peak_descriptors = peak_descriptors.max(daemon.descriptors() as f64);
+        let mut sample = || peak_descriptors = peak_descriptors.max(daemon.descriptors() as f64);
         for phase in &self.phases {
-            fleet.play(*phase, self.phase, &flags, &mut look);
+            fleet.run_phase(*phase, self.phase, &flags, &mut sample);
         }
         flags.is_running.store(false, Ordering::Relaxed);
         daemon.log_counters()?;
         clients.into_iter().for_each(|client| _ = client.join());
-        wait(Duration::from_millis(self.allowed_ms) + LAST_ANSWERS, &mut look);
+        wait(Duration::from_millis(self.allowed_ms) + FINAL_ANSWER_GRACE, &mut sample);
         let records = fleet.records();
         Ok(Reading {
             workers: self.workers,
@@ -161,54 +163,54 @@
             list_bytes: fleet.channel.bytes_told() as f64,
             asked: records.asked.len(),
             served: served(&records),
-            left_workers_out: daemon.log()?.contains(LEFT_OUT),
+            left_workers_out: daemon.log()?.contains(NO_ROOM_LOG_TEXT),
             breaks: judge(&records),
         })
     }
 }
 
 fn served(records: &Records) -> f64 {
-    let stayed = records.asked.iter().filter(|asked| asked.gone_at.is_none());
+    let not_abandoned = records.asked.iter().filter(|asked| asked.gone_at.is_none());
     let is_served = |end: &(End, At)| end.0 == End::Served;
-    let served = stayed.clone().filter(|asked| asked.ends.first().is_some_and(is_served)).count();
-    served as f64 / stayed.count().max(1) as f64
+    let served = not_abandoned.clone().filter(|asked| asked.ends.first().is_some_and(is_served)).count();
+    served as f64 / not_abandoned.count().max(1) as f64
 }
 
-/// What clients look at.
-struct Flags {
+/// ClientFlags that control the client threads.
+struct ClientFlags {
     is_open: Arc<AtomicBool>,
     is_running: Arc<AtomicBool>,
     is_hot: Arc<AtomicBool>,
 }
 
-impl Default for Flags {
+impl Default for ClientFlags {
     fn default() -> Self {
         let flag = |is_set| Arc::new(AtomicBool::new(is_set));
-        Flags { is_open: flag(true), is_running: flag(true), is_hot: flag(false) }
+        ClientFlags { is_open: flag(true), is_running: flag(true), is_hot: flag(false) }
     }
 }
 
-/// Waits, with a look now and then.
-fn wait(span: Duration, mut look: impl FnMut()) {
+/// Waits for `span` and calls `sample` at each poll interval.
+fn wait(span: Duration, mut sample: impl FnMut()) {
     let began = Instant::now();
     while began.elapsed() < span {
-        look();
-        std::thread::sleep(LOOK.min(span.saturating_sub(began.elapsed())));
+        sample();
+        std::thread::sleep(POLL_INTERVAL.min(span.saturating_sub(began.elapsed())));
     }
 }
 
-/// The workers with the channel that tells of them.
+/// The workers and the command channel that lists them.
 struct Fleet {
     size: usize,
-    workers: HollowWorkers,
+    workers: SimulatedWorkers,
     channel: Channel,
     log: Log,
 }
 
 impl Fleet {
-    fn start(day: &Day) -> io::Result<Self> {
-        let (size, log) = (day.workers, Log::new(WINDOW_MS as At));
-        let workers = HollowWorkers::start(size + size / RELEASED, size, RACKS, &log)?;
+    fn start(run: &GrowthRun) -> io::Result<Self> {
+        let (size, log) = (run.workers, Log::new(DEDUP_WINDOW_MS as At));
+        let workers = SimulatedWorkers::start(size + size / RELEASED_ONE_IN, size, RACKS, &log)?;
         let list: Vec<Value> = (0..size).map(|number| endpoint(&workers, number, "up", 0.0)).collect();
         let channel = Channel::start(&list)?;
         Ok(Fleet { size, workers, channel, log })
@@ -220,37 +222,37 @@
         self.log.records().clone()
     }
 
-    fn play(&self, phase: Phase, span: Duration, flags: &Flags, mut look: impl FnMut()) {
+    fn run_phase(&self, phase: Phase, span: Duration, flags: &ClientFlags, mut sample: impl FnMut()) {
         match phase {
-            Phase::Steady => wait(span, look),
+            Phase::Steady => wait(span, sample),
             Phase::HotFunction => {
                 flags.is_hot.store(true, Ordering::Relaxed);
-                wait(span, look);
+                wait(span, sample);
                 flags.is_hot.store(false, Ordering::Relaxed);
             }
             Phase::Release => (0..RELEASE_STEPS).for_each(|step| {
                 self.release(step);
-                wait(span / RELEASE_STEPS as u32, &mut look);
+                wait(span / RELEASE_STEPS as u32, &mut sample);
             }),
             Phase::ZoneLost => {
                 let zone: Vec<usize> = (0..self.size).filter(|number| number % ZONES.len() == 1).collect();
                 self.workers.stop(zone.clone());
-                wait(span.mul_f64(ZONE_AWAY), &mut look);
+                wait(span.mul_f64(ZONE_OUTAGE_FRACTION), &mut sample);
                 self.workers.restart(zone);
-                wait(span.mul_f64(1.0 - ZONE_AWAY), look);
+                wait(span.mul_f64(1.0 - ZONE_OUTAGE_FRACTION), sample);
             }
             Phase::DiscoverySilent => {
                 self.channel.set_silent(true);
-                wait(span.mul_f64(SILENCE), &mut look);
+                wait(span.mul_f64(SILENCE_FRACTION), &mut sample);
                 self.channel.set_silent(false);
-                wait(span.mul_f64(1.0 - SILENCE), look);
+                wait(span.mul_f64(1.0 - SILENCE_FRACTION), sample);
             }
         }
     }
 
-    /// One step of a release: the workers of the step drain, and as many others come.
+    /// Executes one step of a release: a group of old workers is marked as draining and as many new ones are listed.
     fn release(&self, step: usize) {
-        let replaced = self.size / RELEASED;
+        let replaced = self.size / RELEASED_ONE_IN;
         let old = replaced * step / RELEASE_STEPS..replaced * (step + 1) / RELEASE_STEPS;
         let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64() * 1000.0;
         let drained = old.clone().map(|number| endpoint(&self.workers, number, "draining", 0.0));
@@ -262,7 +264,7 @@
     }
 }
 
-fn endpoint(workers: &HollowWorkers, number: usize, status: &str, since_ms: f64) -> Value {
+fn endpoint(workers: &SimulatedWorkers, number: usize, status: &str, since_ms: f64) -> Value {
     json!({"name": format!("s-{number:08x}"), "address": workers.addresses[number].to_string(),
            "zone": ZONES[number % ZONES.len()], "type": "std", "group": number % RACKS,
            "status": status, "weight": 1.0, "since_ms": since_ms})
--- a/crates/rig/src/grow/workers.rs
+++ b/crates/rig/src/grow/workers.rs
@@ -1,6 +1,7 @@
-//! Hollow workers: thousands of them on one thread, each with a loopback address of its own.
+//! Simulated workers: thousands of them on one thread, each with its own loopback address.
 //!
-//! A worker holds models in name only, answers a request after its work and writes down what came.
+//! A worker keeps only the names of its loaded models, answers a request after a simulated work time and records
+//! each arrival.
 use crate::faults::log::{draw, Log};
 use crate::faults::records::{Arrival, At};
 use corkbay_node::wire::frames::{code, Frame, FROM_INVOKER, FROM_WORKER};
@@ -16,55 +17,55 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Requests that all workers together carry out at a time.
-const LANES_OF_ALL: usize = 6400;
-/// The shortest and the longest work of a request, in milliseconds.
+/// Number of requests that all workers together execute at a time; it is divided among those in use.
+const TOTAL_LANES: usize = 6400;
+/// Shortest and longest work time of a request, in milliseconds.
 const WORK_MS: Range<f64> = 15.0..45.0;
 const LOAD_TIME: Duration = Duration::from_millis(150);
-/// Longest wait before commands are looked at.
-const LOOK: Duration = Duration::from_millis(5);
-const EVENTS: usize = 256;
-const CHUNK: usize = 8 << 10;
-/// Tokens of connections begin here, those of listeners are the workers' numbers.
-const FIRST_CONNECTION: usize = 1 << 20;
+/// Longest wait before commands are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+const EVENT_CAPACITY: usize = 256;
+const READ_CHUNK_BYTES: usize = 8 << 10;
+/// Token of the first connection; a listener's token is the number of its worker.
+const FIRST_CONNECTION_TOKEN: usize = 1 << 20;
 
-/// What becomes of workers.
+/// A command from the owner to the server thread, with the numbers of the workers concerned.
 enum Command {
     Stop(Vec<usize>),
     Start(Vec<usize>),
 }
 
-/// The workers as their owner sees them; they serve until it is dropped.
-pub struct HollowWorkers {
-    /// Where each listens, by number.
+/// Handle of the simulated workers; they serve until it is dropped.
+pub struct SimulatedWorkers {
+    /// Listening address of each worker, by number.
     pub addresses: Vec<SocketAddr>,
     commands: Sender<Command>,
     connections_made: Arc<AtomicU64>,
 }
 
-impl HollowWorkers {
-    /// Starts so many, of which so many are in use at a time.
+impl SimulatedWorkers {
+    /// Starts `count` workers, of which `in_use` are listed at a time; these share the total capacity.
     pub fn start(count: usize, in_use: usize, racks: usize, log: &Log) -> io::Result<Self> {
-        let (commands, orders) = channel();
+        let (commands, command_receiver) = channel();
         let connections_made = Arc::<AtomicU64>::default();
         let mut server = Server::new(in_use, racks, log.clone(), connections_made.clone())?;
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let addresses = (0..count).map(|_| server.listen(any)).collect::<io::Result<_>>()?;
-        std::thread::spawn(move || server.run(&orders));
-        Ok(HollowWorkers { addresses, commands, connections_made })
+        std::thread::spawn(move || server.run(&command_receiver));
+        Ok(SimulatedWorkers { addresses, commands, connections_made })
     }
 
-    /// Ends the processes of these workers: connections are reset and new ones refused.
+    /// Simulates the end of these workers' processes: connections are closed and new ones refused.
     pub fn stop(&self, numbers: Vec<usize>) {
         let _ = self.commands.send(Command::Stop(numbers));
     }
 
-    /// Starts these workers again where they listened, with nothing loaded.
+    /// Restarts these workers on their old addresses, with no models loaded.
     pub fn restart(&self, numbers: Vec<usize>) {
         let _ = self.commands.send(Command::Start(numbers));
     }
 
-    /// Connections that were made to them so far.
+    /// Number of connections accepted by all workers so far.
     pub fn connections_made(&self) -> u64 {
         self.connections_made.load(Ordering::Relaxed)
     }
@@ -75,8 +76,8 @@
     listener: Option<TcpListener>,
     models: HashSet<String>,
     busy: usize,
-    /// Counts its processes; what an earlier one was to answer is not answered.
-    life: u32,
+    /// Counts the simulated processes of this worker: answers still pending from an earlier process are dropped.
+    incarnation: u32,
 }
 
 struct Connection {
@@ -85,11 +86,11 @@
     unread: Vec<u8>,
 }
 
-/// An answer that is due later.
+/// An answer that is sent after a delay.
 struct Answer {
     connection: usize,
     worker: usize,
-    life: u32,
+    incarnation: u32,
     frame: Frame,
     frees_lane: bool,
 }
@@ -114,39 +115,39 @@
             poll: Poll::new()?,
             workers: Vec::new(),
             connections: BTreeMap::new(),
-            next_connection: FIRST_CONNECTION,
+            next_connection: FIRST_CONNECTION_TOKEN,
             due: BinaryHeap::new(),
             answers: BTreeMap::new(),
             next_answer: 0,
-            lanes: (LANES_OF_ALL / in_use.max(1)).max(1),
+            lanes: (TOTAL_LANES / in_use.max(1)).max(1),
             racks,
             log,
             connections_made,
         })
     }
 
-    /// Adds a worker that listens there; its address.
+    /// Adds a worker that listens on `address`; returns the address that was bound.
     fn listen(&mut self, address: SocketAddr) -> io::Result<SocketAddr> {
         let number = self.workers.len();
-        let listener = self.open(number, address)?;
+        let listener = self.open_listener(number, address)?;
         let address = listener.local_addr()?;
         let listener = Some(listener);
-        self.workers.push(Worker { address, listener, models: HashSet::new(), busy: 0, life: 0 });
+        self.workers.push(Worker { address, listener, models: HashSet::new(), busy: 0, incarnation: 0 });
         Ok(address)
     }
 
-    fn open(&self, number: usize, address: SocketAddr) -> io::Result<TcpListener> {
+    fn open_listener(&self, number: usize, address: SocketAddr) -> io::Result<TcpListener> {
         let mut listener = TcpListener::bind(address)?;
         self.poll.registry().register(&mut listener, Token(number), Interest::READABLE)?;
         Ok(listener)
     }
 
-    /// Serves until the owner has gone.
-    fn run(&mut self, orders: &Receiver<Command>) {
-        let mut events = Events::with_capacity(EVENTS);
+    /// Serves until the handle is dropped.
+    fn run(&mut self, command_receiver: &Receiver<Command>) {
+        let mut events = Events::with_capacity(EVENT_CAPACITY);
         loop {
             loop {
-                match orders.try_recv() {
+                match command_receiver.try_recv() {
                     Ok(Command::Stop(numbers)) => numbers.into_iter().for_each(|number| self.stop(number)),
                     Ok(Command::Start(numbers)) => {
                         numbers.into_iter().for_each(|number| self.restart(number))
@@ -156,15 +157,15 @@
                 }
             }
             let next = self.due.peek().map(|due| due.0 .0.saturating_duration_since(Instant::now()));
-            // Interrupted waits are looked at again.
-            let _ = self.poll.poll(&mut events, Some(next.unwrap_or(LOOK).min(LOOK)));
+            // An interrupted wait is retried by the next iteration.
+            let _ = self.poll.poll(&mut events, Some(next.unwrap_or(POLL_INTERVAL).min(POLL_INTERVAL)));
             for event in &events {
                 match event.token().0 {
-                    token if token >= FIRST_CONNECTION => self.read(token),
+                    token if token >= FIRST_CONNECTION_TOKEN => self.read(token),
                     number => self.accept(number),
                 }
             }
-            self.answer_due();
+            self.send_due_answers();
         }
     }
 
@@ -173,12 +174,12 @@
         worker.listener = None;
         worker.models.clear();
         worker.busy = 0;
-        worker.life += 1;
+        worker.incarnation += 1;
         self.connections.retain(|_, connection| connection.worker != number);
     }
 
     fn restart(&mut self, number: usize) {
-        match self.open(number, self.workers[number].address) {
+        match self.open_listener(number, self.workers[number].address) {
             Ok(listener) => self.workers[number].listener = Some(listener),
             Err(error) => tracing::error!(%error, number, "a hollow worker can't listen again"),
         }
@@ -200,8 +201,8 @@
 
     fn read(&mut self, token: usize) {
         let Some(connection) = self.connections.get_mut(&token) else { return };
-        let mut chunk = [0; CHUNK];
-        let is_over = loop {
+        let mut chunk = [0; READ_CHUNK_BYTES];
+        let is_closed = loop {
             match connection.socket.read(&mut chunk) {
                 Ok(0) => break true,
                 Ok(size) => connection.unread.extend(&chunk[..size]),
@@ -215,14 +216,14 @@
         }
         let worker = connection.worker;
         for frame in frames {
-            self.take(token, worker, &frame);
+            self.handle_frame(token, worker, &frame);
         }
-        if is_over {
+        if is_closed {
             self.connections.remove(&token);
         }
     }
 
-    fn take(&mut self, connection: usize, worker: usize, frame: &Frame) {
+    fn handle_frame(&mut self, connection: usize, worker: usize, frame: &Frame) {
         match frame.code {
             code::REQUEST => self.request(connection, worker, frame),
             code::LOAD => self.load(connection, worker, frame),
@@ -249,7 +250,7 @@
         }
         worker.busy += 1;
         let work = WORK_MS.start + (WORK_MS.end - WORK_MS.start) * draw(id, number as u64);
-        self.answer_in(
+        self.schedule_answer(
             Duration::from_secs_f64(work / 1000.0),
             connection,
             number,
@@ -260,18 +261,18 @@
 
     fn load(&mut self, connection: usize, number: usize, frame: &Frame) {
         let model = frame.field("obj").unwrap_or_default().to_string();
-        let stood = self.workers[number].models.contains(&model);
-        let wants = frame.field("replicas").is_some_and(|count| count != "0");
-        if wants {
+        let was_loaded = self.workers[number].models.contains(&model);
+        let load_requested = frame.field("replicas").is_some_and(|count| count != "0");
+        if load_requested {
             self.workers[number].models.insert(model);
         }
-        let fields = if stood || wants { "replicas=1" } else { "replicas=0" };
+        let fields = if was_loaded || load_requested { "replicas=1" } else { "replicas=0" };
         let answer = reply(code::OK, frame.id, fields);
-        let delay = if wants && !stood { LOAD_TIME } else { Duration::ZERO };
-        self.answer_in(delay, connection, number, answer, false);
+        let delay = if load_requested && !was_loaded { LOAD_TIME } else { Duration::ZERO };
+        self.schedule_answer(delay, connection, number, answer, false);
     }
 
-    fn answer_in(
+    fn schedule_answer(
         &mut self,
         delay: Duration,
         connection: usize,
@@ -279,25 +280,25 @@
         frame: Frame,
         frees_lane: bool,
     ) {
-        let life = self.workers[worker].life;
+        let incarnation = self.workers[worker].incarnation;
         self.next_answer += 1;
         self.due.push(Reverse((Instant::now() + delay, self.next_answer)));
-        self.answers.insert(self.next_answer, Answer { connection, worker, life, frame, frees_lane });
+        self.answers.insert(self.next_answer, Answer { connection, worker, incarnation, frame, frees_lane });
     }
 
-    fn answer_due(&mut self) {
+    fn send_due_answers(&mut self) {
         while self.due.peek().is_some_and(|due| due.0 .0 <= Instant::now()) {
             let Some(Reverse((_, number))) = self.due.pop() else { return };
             let Some(answer) = self.answers.remove(&number) else { continue };
             let worker = &mut self.workers[answer.worker];
-            if worker.life == answer.life {
+            if worker.incarnation == answer.incarnation {
                 worker.busy -= usize::from(answer.frees_lane);
                 self.write(answer.connection, &answer.frame);
             }
         }
     }
 
-    /// Whoever has left is seen by the reading side.
+    /// Sends a frame. Errors are ignored: a closed connection is noticed when it is next read.
     fn write(&mut self, connection: usize, frame: &Frame) {
         if let Some(connection) = self.connections.get_mut(&connection) {
             let _ = connection.socket.write_all(&frame.encode());
--- a/crates/rig/tests/grow.rs
+++ b/crates/rig/tests/grow.rs
@@ -1,16 +1,18 @@
-//! A daemon before thousands of workers: its requests keep their rules, and its needs the operators' bounds of growth.
-use corkbay_rig::grow::{table, Day, Phase, Reading};
+//! A daemon with thousands of workers: no request rule is violated, and resource use stays within the growth bounds
+//! that the operators require.
+use corkbay_rig::grow::{table, GrowthRun, Phase, Reading};
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// The usual number of workers, and the most that the operators name.
-const USUAL: usize = 200;
-const MOST: usize = 3200;
-/// A share of a core that suffices before the usual number of workers.
+/// The usual number of workers.
+const USUAL_WORKERS: usize = 200;
+/// The largest number of workers that the operators require.
+const MAX_WORKERS: usize = 3200;
+/// A share of a core that suffices with the usual number of workers.
 const CORE_SHARE: f64 = 0.2;
-/// The memory of an invoker on the platform.
+/// Memory of an invoker on the platform, in MB.
 const MEMORY_MB: u64 = 32;
-const PHASE: Duration = Duration::from_secs(8);
+const PHASE_DURATION: Duration = Duration::from_secs(8);
 
 fn program() -> PathBuf {
     let tests = std::env::current_exe().expect("this test");
@@ -19,12 +21,12 @@
     program
 }
 
-fn play(name: &str, workers: usize, phases: &[Phase], core_share: Option<f64>) -> Reading {
+fn execute(name: &str, workers: usize, phases: &[Phase], core_share: Option<f64>) -> Reading {
     let folder = std::env::temp_dir().join(format!("corkbay-grow-{}-{name}-{workers}", std::process::id()));
-    let day = Day {
+    let run = GrowthRun {
         workers,
         phases: phases.to_vec(),
-        phase: PHASE,
+        phase: PHASE_DURATION,
         rate: 40.0,
         allowed_ms: 2000,
         core_share,
@@ -33,7 +35,7 @@
         program: program(),
         folder: folder.clone(),
     };
-    let reading = day.play().expect("plays");
+    let reading = run.execute().expect("the run is executed");
     let breaks: Vec<String> = reading.breaks.iter().take(5).map(ToString::to_string).collect();
     let count = reading.breaks.len();
     assert!(breaks.is_empty(), "{workers} workers, files in {}, {count}: {breaks:#?}", folder.display());
@@ -42,20 +44,22 @@
     reading
 }
 
-/// With 16 times the workers, requests had no final answer where the processor's share was that of an invoker.
+/// Guards against requests without a final answer: with 16 times the workers and an invoker's share of a core, some
+/// requests got none.
 #[test]
-fn requests_lost_before_thousands_of_workers() {
-    let usual = play("lost", USUAL, &[Phase::Steady], Some(CORE_SHARE));
-    let most = play("lost", MOST, &[Phase::Steady], Some(CORE_SHARE));
+fn requests_are_served_with_thousands_of_workers() {
+    let usual = execute("lost", USUAL_WORKERS, &[Phase::Steady], Some(CORE_SHARE));
+    let most = execute("lost", MAX_WORKERS, &[Phase::Steady], Some(CORE_SHARE));
     assert!(most.served >= 0.85 * usual.served, "served {} and {}", usual.served, most.served);
 }
 
-/// What a daemon needs grows with the workers by no more than the operators allow, through a release and the loss of a
-/// zone.
+/// Resource use grows with the number of workers within the operators' bounds, also during a release and the loss of
+/// a zone.
 #[test]
-fn work_grows_with_the_fleet() {
+fn resource_use_stays_within_growth_bounds() {
     let phases = [Phase::Steady, Phase::Release, Phase::ZoneLost];
-    let (usual, most) = (play("needs", USUAL, &phases, None), play("needs", MOST, &phases, None));
+    let (usual, most) =
+        (execute("needs", USUAL_WORKERS, &phases, None), execute("needs", MAX_WORKERS, &phases, None));
     let over: Vec<_> = table(&usual, &most).into_iter().filter(|row| !row.is_kept).collect();
     assert!(over.is_empty(), "{over:#?}");
 }
