--- a/crates/rig/src/grow/daemon.rs
+++ b/crates/rig/src/grow/daemon.rs
@@ -132,14 +132,15 @@
     )
 }
 
-/// Returns a free address on a loopback host derived from the process id, so that parallel test processes don't collide.
+/// Returns a free address on a loopback host derived from the process id, so that parallel processes don't collide.
 fn free_address() -> io::Result<SocketAddr> {
     let process = std::process::id();
     let host = Ipv4Addr::new(127, 59, (process >> 8) as u8, (process as u8).max(1));
     TcpListener::bind((host, 0))?.local_addr()
 }
 
-/// Limits the process to its share of a core: suspends it while its CPU time exceeds the share plus the burst allowance.
+/// Limits the process to its share of a core: suspends it while its CPU time exceeds the share plus the burst
+/// allowance.
 fn throttle(child: &OwnedChild, share: f64, is_running: &AtomicBool) {
     let began = Instant::now();
     let mut is_stopped = false;
--- a/crates/rig/src/scale/catalog.rs
+++ b/crates/rig/src/scale/catalog.rs
@@ -1,4 +1,4 @@
-//! What one daemon's start and memory cost over the number of configured functions.
+//! The experiment `catalog`: start time, CPU and memory of one daemon by the number of configured functions.
 use super::deploy::{function_name, DeployFile};
 use super::in_force::takes_calls;
 use super::process::DaemonProcess;
@@ -7,30 +7,29 @@
 use serde_json::Value;
 use std::path::Path;
 
-/// What the experiment is told on the command line.
+/// Command-line options of the experiment.
 #[derive(Args, Clone, Debug)]
 pub struct Options {
     /// Numbers of functions.
     #[arg(long, value_delimiter = ',', default_values_t = [1000usize, 4000, 12_000, 25_000])]
     pub functions: Vec<usize>,
-    /// Memory of the daemon, in MB.
+    /// Memory limit of the daemon, in MB.
     #[arg(long, default_value_t = 256)]
     pub memory_mb: u64,
-    /// The part of the memory that functions and workers may take, in percent; the usual one where it is not given.
+    /// Share of the memory for functions and workers, in percent; the daemon's default if not given.
     #[arg(long)]
     pub catalog_percent: Option<f64>,
-    /// Starts that are measured at each size.
+    /// Number of starts measured at each size.
     #[arg(long, default_value_t = 3)]
     pub plays: usize,
 }
 
-/// Measures a first start from the deploy file and a later one on the data that the first kept.
+/// Measures a first start from the deploy file and a restart on the data that the first start stored.
 pub fn run(context: &ScaleContext, options: &Options) -> Result<Vec<Measurement>, ScaleError> {
     let mut measurements = Vec::new();
     for &functions in &options.functions {
-        for play in 0..options.plays {
-            let folder = context.out.join(format!("catalog-{functions}-{play}"));
-            // A relative data_dir would be taken from the folder of the deploy file.
+        for repetition in 0..options.plays {
+            let folder = context.out.join(format!("catalog-{functions}-{repetition}"));
             let found = measure(context, options, functions, &folder);
             let _ = std::fs::remove_dir_all(&folder);
             match found {
@@ -55,6 +54,7 @@
     folder: &Path,
 ) -> Result<Vec<Measurement>, ScaleError> {
     std::fs::create_dir_all(folder)?;
+    // The daemon resolves a relative data_dir against the folder of the deploy file.
     let folder = folder.canonicalize()?;
     let mut deploy = DeployFile::new("catalog")
         .memory_mb(options.memory_mb)
@@ -64,16 +64,20 @@
         deploy = deploy.catalog_percent(percent);
     }
     let mut daemon = DaemonProcess::start(&context.program, &folder, &deploy.text())?;
-    let mut measurements = state_of(&daemon, functions, "first start")?;
+    let mut measurements = measure_state(&daemon, functions, "first start")?;
     daemon.restart()?;
-    measurements.extend(state_of(&daemon, functions, "start on kept data")?);
+    measurements.extend(measure_state(&daemon, functions, "start on kept data")?);
     Ok(measurements)
 }
 
-fn state_of(daemon: &DaemonProcess, functions: usize, phase: &str) -> Result<Vec<Measurement>, ScaleError> {
+fn measure_state(
+    daemon: &DaemonProcess,
+    functions: usize,
+    phase: &str,
+) -> Result<Vec<Measurement>, ScaleError> {
     let usage = daemon.process().usage()?;
     if !takes_calls(&mut daemon.client(), &function_name(functions - 1))? {
-        return Err(ScaleError::Failed("the last function is not known".into()));
+        return Err(ScaleError::Failed("the daemon does not know the last configured function".into()));
     }
     let status: Value = serde_json::from_slice(&daemon.request("GET", "/v1/status", b"")?.body)
         .map_err(std::io::Error::other)?;
@@ -94,7 +98,7 @@
     Ok(figures.into_iter().map(measurement).collect())
 }
 
-/// Bytes of the files in a folder.
+/// Total size of the files in a folder, in bytes; subfolders are not included.
 pub fn folder_bytes(folder: &Path) -> Result<f64, ScaleError> {
     let mut bytes = 0.0;
     for entry in std::fs::read_dir(folder)? {
--- a/crates/rig/src/scale/chart.rs
+++ b/crates/rig/src/scale/chart.rs
@@ -1,11 +1,10 @@
-//! A chart of measurements: one line for each row, both axes logarithmic.
+//! A chart of measurements with one line per row and logarithmic axes.
 use super::{Measurement, ScaleError};
 use crate::report;
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// Draws `scale-NAME.svg` into a folder. Figures that are not above 0 have no place on a logarithmic axis and
-/// are left out.
+/// Draws `scale-NAME.svg` into a folder. Sizes and figures of 0 or less are left out: they have no logarithm.
 pub fn draw(folder: &Path, name: &str, measurements: &[Measurement]) -> Result<(), ScaleError> {
     let mut lines: BTreeMap<String, Vec<(f64, f64)>> = BTreeMap::new();
     for measurement in measurements {
--- a/crates/rig/src/scale/connections.rs
+++ b/crates/rig/src/scale/connections.rs
@@ -1,5 +1,5 @@
-//! The experiment `connections`: connections of daemons to workers, what they cost while nothing is called, and
-//! what is asked over them, over workers that a daemon knows and over daemons that know a worker.
+//! The experiment `connections`: number and idle cost of connections between daemons and workers, and the frames sent
+//! over them, by the number of workers that a daemon knows and by the number of daemons that know a worker.
 use super::deploy::{function_name, DeployFile};
 use super::process::{usage, DaemonProcess, Usage};
 use super::usage::open_sockets;
@@ -12,19 +12,19 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// Time for a start, or for connections that were opened or closed, to be seen by all.
+/// Time until a start, or the opening or closing of connections, has taken effect at both ends.
 const SETTLE: Duration = Duration::from_secs(1);
-/// Work and loads of workers whose own pace is of no interest.
-const QUICK: Duration = Duration::from_millis(1);
-/// Memory of a daemon in MB, as the plan has it.
+/// Execution and load time of the emulated workers; their speed is not measured here.
+const EMULATED_WORK_TIME: Duration = Duration::from_millis(1);
+/// Memory limit of a daemon, in MB, as planned for production.
 const MEMORY_MB: u64 = 256;
-/// Calls of each function: the first one asks where it stands and has it loaded.
+/// Number of calls to each function; the first locates the function and has it loaded.
 const ROUNDS: usize = 2;
-const MICROSECONDS: f64 = 1e6;
-/// Idle connections are kept for so long where their end isn't looked at, in seconds.
-const KEPT_S: f64 = 120.0;
+const MICROSECONDS_PER_SECOND: f64 = 1e6;
+/// Idle timeout of connections where their closing isn't measured, in seconds.
+const LONG_IDLE_TIMEOUT_S: f64 = 120.0;
 
-/// What the experiment is told on the command line.
+/// Command-line options of the experiment.
 #[derive(Args, Clone, Debug)]
 pub struct Options {
     /// Numbers of workers that one daemon knows, over frames.
@@ -33,26 +33,26 @@
     /// Numbers of daemons that know the same workers.
     #[arg(long, value_delimiter = ',', default_values_t = [1, 4, 16])]
     pub daemons: Vec<usize>,
-    /// Workers that several daemons know.
+    /// Number of workers that several daemons share.
     #[arg(long, default_value_t = 4)]
     pub shared_workers: usize,
-    /// Functions for each worker; each is called a few times, so that every worker is spoken to.
+    /// Functions for each worker; each is called a few times, so that every worker gets a connection.
     #[arg(long, default_value_t = 6)]
     pub functions: usize,
-    /// For how long daemons are left alone after the last call before they count as idle, in seconds: the decisions look
-    /// after what was called for up to a keep time (10 s by default).
+    /// Time without calls after which daemons count as idle, in seconds: the dispatcher maintains functions that were
+    /// called for up to the keep time (10 s by default).
     #[arg(long, default_value_t = 14.0)]
     pub settle_seconds: f64,
-    /// For how long idle daemons are watched, in seconds.
+    /// Time for which idle daemons are measured, in seconds.
     #[arg(long, default_value_t = 2.0)]
     pub idle_seconds: f64,
-    /// After how many seconds daemons close an idle connection, where that is looked at; elsewhere they keep them
-    /// for longer than they are watched.
+    /// Idle timeout of connections, in seconds, for the point that measures their closing; at other points they are
+    /// kept for longer than the measurement.
     #[arg(long, default_value_t = 3.0)]
     pub close_seconds: f64,
 }
 
-/// Measures and returns the figures.
+/// Runs the experiment and returns its measurements.
 pub fn run(context: &ScaleContext, options: &Options) -> Result<Vec<Measurement>, ScaleError> {
     let mut measurements = Vec::new();
     let mut measure = |axis: &str, size: usize, point: Point| -> Result<(), ScaleError> {
@@ -63,7 +63,12 @@
         measurements.extend(found?.measurements(axis, size as f64));
         Ok(())
     };
-    let frames = Point { workers: options.shared_workers, daemons: 1, protocol: "frames", close_s: KEPT_S };
+    let frames = Point {
+        workers: options.shared_workers,
+        daemons: 1,
+        protocol: "frames",
+        close_s: LONG_IDLE_TIMEOUT_S,
+    };
     for &workers in &options.workers {
         measure("frames, workers", workers, Point { workers, ..frames })?;
     }
@@ -82,33 +87,34 @@
     workers: usize,
     daemons: usize,
     protocol: &'static str,
-    /// After how many seconds an idle connection is closed.
+    /// Idle timeout of a connection, in seconds.
     close_s: f64,
 }
 
-/// What all daemons and the process of the emulated workers hold and have used at one time.
+/// Resources that all daemons and the process of the emulated workers use at one instant.
 #[derive(Clone, Copy, Debug, Default)]
-struct Look {
+struct Snapshot {
     daemons: Usage,
     daemon_sockets: f64,
     fleet: Usage,
-    /// Connections that the emulated workers count. The descriptors of their process would count others as well.
+    /// Connections as the emulated workers count them: descriptors of their process would include other sockets.
     fleet_connections: f64,
-    /// Frames and connections that the daemons sent or dialled, in all.
+    /// Total number of frames that the daemons sent.
     sent: f64,
+    /// Total number of connections that the daemons opened.
     dials: f64,
 }
 
-/// What one point gave.
+/// Readings at one point.
 struct Reading {
     point: Point,
     span_s: f64,
     calls_served: f64,
-    unconnected: Look,
-    unconnected_later: Look,
-    connected: Look,
-    connected_later: Look,
-    closed: Option<Look>,
+    unconnected: Snapshot,
+    unconnected_later: Snapshot,
+    connected: Snapshot,
+    connected_later: Snapshot,
+    closed: Option<Snapshot>,
 }
 
 impl Point {
@@ -118,8 +124,13 @@
         options: &Options,
         folder: &Path,
     ) -> Result<Reading, ScaleError> {
-        let kind =
-            Kind { load: QUICK, work: QUICK, cold: QUICK, loads: self.protocol == "http", ..Kind::default() };
+        let kind = Kind {
+            load: EMULATED_WORK_TIME,
+            work: EMULATED_WORK_TIME,
+            cold: EMULATED_WORK_TIME,
+            loads: self.protocol == "http",
+            ..Kind::default()
+        };
         let schedule = FaultSchedule { seed: context.seed, fault_rate: 0.0 };
         let fleet = Fleet::start(self.workers, kind, schedule)?;
         let functions = options.functions * self.workers;
@@ -167,12 +178,12 @@
         })
     }
 
-    /// Whether idle connections are to close while they are watched.
+    /// Whether idle connections close during the measurement.
     fn closes_soon(&self) -> bool {
-        self.close_s < KEPT_S
+        self.close_s < LONG_IDLE_TIMEOUT_S
     }
 
-    /// How long daemons are left alone after the last call.
+    /// Time without calls before the idle cost is measured.
     fn settle_time(&self, options: &Options) -> Duration {
         if self.closes_soon() {
             return SETTLE;
@@ -196,7 +207,7 @@
     }
 }
 
-/// Calls each function a few times; tells how many calls were served.
+/// Calls each function `ROUNDS` times and returns the number of calls served.
 fn call_all(daemon: &DaemonProcess, functions: usize) -> Result<f64, ScaleError> {
     let mut client = daemon.client();
     let mut served = 0.0;
@@ -210,9 +221,9 @@
     Ok(served)
 }
 
-fn look(daemons: &[DaemonProcess], fleet: &Fleet) -> Result<Look, ScaleError> {
+fn look(daemons: &[DaemonProcess], fleet: &Fleet) -> Result<Snapshot, ScaleError> {
     let own = std::process::id();
-    let mut look = Look::default();
+    let mut look = Snapshot::default();
     for daemon in daemons {
         let status: Value = serde_json::from_slice(&daemon.request("GET", "/v1/status", b"")?.body)
             .map_err(|error| ScaleError::Failed(format!("status: {error}")))?;
@@ -220,7 +231,7 @@
         look.sent += count("sent") + count("orders") + count("questions") + count("evictions");
         look.dials += count("dials");
     }
-    // The connections over which the status was asked for are closed by now at this end, and soon at the other.
+    // Wait until the daemons have closed the connections of the status requests, which this process closed already.
     std::thread::sleep(Duration::from_millis(100));
     for daemon in daemons {
         let used = daemon.process().usage()?;
@@ -239,11 +250,11 @@
         let workers = self.point.workers as f64;
         let connections = self.connected.daemon_sockets - self.unconnected.daemon_sockets;
         let each = |bytes: f64| if connections > 0.0 { bytes / connections } else { 0.0 };
-        let idle_cpu = |from: &Look, to: &Look| {
-            (to.daemons.cpu_s - from.daemons.cpu_s) * MICROSECONDS / self.span_s / daemons
+        let idle_cpu = |from: &Snapshot, to: &Snapshot| {
+            (to.daemons.cpu_s - from.daemons.cpu_s) * MICROSECONDS_PER_SECOND / self.span_s / daemons
         };
-        let grown = |of: fn(&Look) -> f64| of(&self.connected) - of(&self.unconnected);
-        let later = |of: fn(&Look) -> f64| of(&self.connected_later) - of(&self.connected);
+        let grown = |of: fn(&Snapshot) -> f64| of(&self.connected) - of(&self.unconnected);
+        let later = |of: fn(&Snapshot) -> f64| of(&self.connected_later) - of(&self.connected);
         let figures = [
             ("connections a daemon", connections / daemons, "connections"),
             ("connections at a worker", grown(|look| look.fleet_connections) / workers, "connections"),
--- a/crates/rig/src/scale/decisions.rs
+++ b/crates/rig/src/scale/decisions.rs
@@ -1,7 +1,7 @@
 //! The experiment `decisions`: CPU and memory of the decision library, driven without I/O on a synthetic clock.
 //!
-//! One dispatcher is told of a fleet and of copies that stand there, and is fed calls, the ends of attempts and
-//! orders, and its timer. Each event is timed by the CPU clock of the thread.
+//! One dispatcher gets a roster and a set of loaded copies, then requests, the ends of attempts and of load orders, and
+//! its timer events. Each event is handle_timed with the CPU clock of the thread.
 use super::usage::{clock_overhead, own_resident, thread_cpu};
 use super::{Measurement, ScaleContext, ScaleError};
 use crate::daemon::Deployment;
@@ -17,29 +17,30 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::Duration;
 
-/// One way between the invoker and a worker, the time of a call and of a load.
-const WIRE: Ms = 1.0;
-const CALL: Ms = 40.0;
-const LOAD: Ms = 400.0;
-/// How long a client waits.
-const PATIENCE: Ms = 4000.0;
-/// The dispatcher ranks the homes of a model anew in each step of so many milliseconds.
-const RANKING_STEP: Ms = 1000.0;
-/// Memory of a worker in MB: more than all copies take, so that no model gives way.
-const AMPLE_MEMORY: f64 = 1e12;
+/// One-way network delay between the invoker and a worker, in milliseconds.
+const ONE_WAY_DELAY_MS: Ms = 1.0;
+/// Execution time of a call and time of a load, in milliseconds.
+const CALL_TIME_MS: Ms = 40.0;
+const LOAD_TIME_MS: Ms = 400.0;
+/// Client timeout, in milliseconds.
+const CLIENT_TIMEOUT_MS: Ms = 4000.0;
+/// Interval at which the dispatcher ranks the home workers of a model again, in milliseconds.
+const RANKING_INTERVAL_MS: Ms = 1000.0;
+/// Memory of a worker, in MB: more than all copies take, so that no model is evicted.
+const AMPLE_MEMORY_MB: f64 = 1e12;
 const COPY_MB: f64 = 64.0;
-const MICROSECONDS: f64 = 1e6;
+const MICROSECONDS_PER_SECOND: f64 = 1e6;
 
-/// What the experiment is told on the command line.
+/// Command-line options of the experiment.
 #[derive(Args, Clone, Debug)]
 pub struct Options {
-    /// Numbers of workers, with as many functions as the first of `--functions` tells.
+    /// Numbers of workers, with as many functions as the first of `--functions`, but at least 512.
     #[arg(long, value_delimiter = ',', default_values_t = [1, 4, 16, 64, 256, 1024])]
     pub workers: Vec<usize>,
     /// Numbers of functions, with `--known-workers`.
     #[arg(long, value_delimiter = ',', default_values_t = [64, 512, 4096, 25_000])]
     pub functions: Vec<usize>,
-    /// Numbers of copies that are known to stand, with the most functions and the most workers.
+    /// Numbers of loaded copies that the dispatcher knows, with the most functions and the most workers.
     #[arg(long, value_delimiter = ',', default_values_t = [1000, 10_000, 30_000, 76_000])]
     pub copies: Vec<usize>,
     /// Workers known while functions are varied.
@@ -51,14 +52,14 @@
     /// Invokers that share the fleet.
     #[arg(long, default_value_t = 880)]
     pub invokers: u32,
-    /// Calls a second, on the synthetic clock.
+    /// Calls per second of the synthetic clock.
     #[arg(long, default_value_t = 159.0)]
     pub rate: f64,
-    /// Time of each point, in seconds of the synthetic clock.
+    /// Duration of each point, in seconds of the synthetic clock.
     #[arg(long, default_value_t = 8.0)]
     pub seconds: f64,
-    /// How uneven the popularity of functions is: with 1.6, half of 25,000 functions get less than a call a
-    /// minute of 140,000 a second.
+    /// Zipf exponent of the popularity of functions: with 1.6 and 140,000 calls a second, half of 25,000 functions get
+    /// less than one call a minute.
     #[arg(long, default_value_t = 1.6)]
     pub skew: f64,
 }
@@ -72,27 +73,27 @@
     skew: f64,
 }
 
-/// What an event has the dispatcher do.
+/// The kind of work that an event causes in the dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Work {
-    /// The first event about a model in a step: its homes are ranked.
+    /// The first event about a model in a ranking interval: its home workers are ranked.
     Rank,
-    /// A request whose model is ranked.
+    /// A request for a model that is already ranked in this interval.
     Place,
-    /// The end of an attempt or order whose model is ranked.
+    /// The end of an attempt or load order for a model that is already ranked in this interval.
     Learn,
-    /// The timer.
+    /// A timer event.
     Tick,
 }
 
-/// Events of one kind.
+/// Number and CPU time of the events of one kind.
 #[derive(Clone, Copy, Debug, Default)]
 struct Cost {
     events: u64,
     cpu: Duration,
 }
 
-/// What one point gave.
+/// Readings at one point.
 struct Reading {
     calls: u64,
     served: u64,
@@ -102,7 +103,7 @@
     resident: f64,
 }
 
-/// Measures and returns the figures.
+/// Runs the experiment and returns its measurements.
 pub fn run(context: &ScaleContext, options: &Options) -> Result<Vec<Measurement>, ScaleError> {
     let settings = settings(options)?;
     let mut kept = Vec::new();
@@ -110,7 +111,7 @@
     let mut measure = |axis: &str, size: usize, point: Point| -> Result<(), ScaleError> {
         let mut fleet = EmulatedFleet::new(&settings, point, options, context.seed);
         let reading = fleet.measure(options)?;
-        // Memory that is given back would be used again by the next point and hide what that one takes.
+        // The fleet stays alive: the allocator would reuse its memory for the next point and hide what that one takes.
         kept.push(fleet);
         measurements.extend(reading.measurements(axis, size as f64, options));
         Ok(())
@@ -135,14 +136,14 @@
     Ok(measurements)
 }
 
-/// The settings that a daemon with frames gets from its deploy file, for a fleet that is shared.
+/// Settings of a daemon that uses the frames protocol and shares the fleet with other invokers.
 fn settings(options: &Options) -> Result<Settings, ScaleError> {
     let deployment = Deployment { head: String::new(), protocol: "frames", workers: vec![], functions: 0 };
     let deploy: Deploy =
         read(&deployment.text()).map_err(|error| ScaleError::Failed(format!("deploy file: {error}")))?;
     let mut settings = Settings::from_json(&deploy.settings());
     settings.front_ends = options.invokers;
-    settings.kind_memory = vec![AMPLE_MEMORY];
+    settings.kind_memory = vec![AMPLE_MEMORY_MB];
     Ok(settings)
 }
 
@@ -151,10 +152,11 @@
         let calls = self.calls.max(1) as f64;
         let all: Duration = self.costs.values().map(|cost| cost.cpu).sum();
         let of = |work: Work| self.costs.get(&work).copied().unwrap_or_default();
-        let each = |work: Work| of(work).cpu.as_secs_f64() * MICROSECONDS / of(work).events.max(1) as f64;
+        let each =
+            |work: Work| of(work).cpu.as_secs_f64() * MICROSECONDS_PER_SECOND / of(work).events.max(1) as f64;
         let seconds = options.seconds;
         let figures = [
-            ("CPU a call", all.as_secs_f64() * MICROSECONDS / calls, "us"),
+            ("CPU a call", all.as_secs_f64() * MICROSECONDS_PER_SECOND / calls, "us"),
             ("CPU of a ranking event", each(Work::Rank), "us"),
             ("ranking events a call", of(Work::Rank).events as f64 / calls, "events"),
             (
@@ -164,8 +166,12 @@
             ),
             ("CPU of a request, ranked", each(Work::Place), "us"),
             ("CPU of an end, ranked", each(Work::Learn), "us"),
-            ("CPU of ticks a second", of(Work::Tick).cpu.as_secs_f64() * MICROSECONDS / seconds, "us/s"),
-            ("CPU of a whole worker list", self.roster.as_secs_f64() * MICROSECONDS, "us"),
+            (
+                "CPU of ticks a second",
+                of(Work::Tick).cpu.as_secs_f64() * MICROSECONDS_PER_SECOND / seconds,
+                "us/s",
+            ),
+            ("CPU of a whole worker list", self.roster.as_secs_f64() * MICROSECONDS_PER_SECOND, "us"),
             ("calls measured", self.calls as f64, "calls"),
             ("calls served", self.served as f64, "calls"),
             ("models known", self.tables.models as f64, "models"),
@@ -180,16 +186,16 @@
     }
 }
 
-/// A dispatcher with the workers that it decides about.
+/// A dispatcher and the emulated workers that it assigns calls to.
 struct EmulatedFleet {
     dispatcher: Dispatcher,
     now: Ms,
     point: Point,
     rng: ChaCha8Rng,
-    /// Events to come, by time in microseconds and order.
+    /// Future events by time, in microseconds, and by order of insertion.
     queue: BTreeMap<(u64, u64), Event>,
     order: u64,
-    standing: HashSet<(WorkerId, ModelId)>,
+    loaded: HashSet<(WorkerId, ModelId)>,
     attempts: HashMap<RequestId, u32>,
     models: HashMap<RequestId, ModelId>,
     ranked_in: HashMap<ModelId, u64>,
@@ -206,12 +212,12 @@
         let resident_before = own_resident().unwrap_or_default();
         let mut fleet = EmulatedFleet {
             dispatcher: Dispatcher::new(settings.clone(), seed),
-            now: RANKING_STEP,
+            now: RANKING_INTERVAL_MS,
             point,
             rng: ChaCha8Rng::seed_from_u64(seed),
             queue: BTreeMap::new(),
             order: 0,
-            standing: HashSet::new(),
+            loaded: HashSet::new(),
             attempts: HashMap::new(),
             models: HashMap::new(),
             ranked_in: HashMap::new(),
@@ -228,9 +234,9 @@
         fleet
     }
 
-    /// Has the dispatcher learn of the copies, then measures calls.
+    /// Reports the copies to the dispatcher, then measures calls.
     fn measure(&mut self, options: &Options) -> Result<Reading, ScaleError> {
-        self.introduce();
+        self.report_copies();
         self.costs.clear();
         self.served = 0;
         let end = self.now + options.seconds * 1000.0;
@@ -240,7 +246,7 @@
             let model = popularity.draw(&mut self.rng);
             self.run_until(at);
             let request = self.request(model);
-            self.timed(Event::Request(request));
+            self.handle_timed(Event::Request(request));
             calls += 1;
             at += 1000.0 / options.rate;
         }
@@ -251,35 +257,40 @@
         Ok(Reading { calls, served, costs, roster, tables, resident })
     }
 
-    /// Each function is called once by a client that waits for nothing, so that the dispatcher knows it; then each
-    /// copy is told.
-    fn introduce(&mut self) {
+    /// Registers each function with a request that expires at once; then reports each copy to the dispatcher.
+    fn report_copies(&mut self) {
         let functions = self.point.functions as u64;
         for copy in 0..self.point.copies as u64 {
             let worker = WorkerId(self.rng.random_range(0..self.point.workers as u32));
-            self.standing.insert((worker, ModelId(copy % functions)));
+            self.loaded.insert((worker, ModelId(copy % functions)));
         }
         for model in (0..functions).map(ModelId) {
             let request = Request { expires: self.now, ..self.request(model) };
             self.handle(Event::Request(request));
         }
-        let mut standing: Vec<(WorkerId, ModelId)> = self.standing.iter().copied().collect();
-        standing.sort_unstable();
-        for (worker, model) in standing {
-            self.handle(Event::Loaded { worker, model, outcome: Outcome::Ok, copies: 1, took: 2.0 * WIRE });
+        let mut loaded: Vec<(WorkerId, ModelId)> = self.loaded.iter().copied().collect();
+        loaded.sort_unstable();
+        for (worker, model) in loaded {
+            self.handle(Event::Loaded {
+                worker,
+                model,
+                outcome: Outcome::Ok,
+                copies: 1,
+                took: 2.0 * ONE_WAY_DELAY_MS,
+            });
         }
-        self.run_until(self.now + RANKING_STEP);
+        self.run_until(self.now + RANKING_INTERVAL_MS);
     }
 
     fn request(&mut self, model: ModelId) -> Request {
         self.next_request += 1;
         let id = RequestId(self.next_request);
         self.models.insert(id, model);
-        let expires = self.now + PATIENCE;
+        let expires = self.now + CLIENT_TIMEOUT_MS;
         Request { id, model, memory: COPY_MB, lanes: 4.0, expires, ..Request::default() }
     }
 
-    fn plan(&mut self, delay: Ms, event: Event) {
+    fn schedule(&mut self, delay: Ms, event: Event) {
         self.order += 1;
         self.queue.insert((((self.now + delay) * 1000.0) as u64, self.order), event);
     }
@@ -288,13 +299,13 @@
         while let Some(next) = self.queue.first_entry().filter(|next| next.key().0 <= (end * 1000.0) as u64) {
             let ((at, _), event) = next.remove_entry();
             self.now = at as f64 / 1000.0;
-            self.timed(event);
+            self.handle_timed(event);
         }
         self.now = end;
     }
 
-    /// Feeds an event and adds up what it took.
-    fn timed(&mut self, event: Event) {
+    /// Handles an event and adds its CPU time to the costs.
+    fn handle_timed(&mut self, event: Event) {
         let work = self.work(&event);
         let took = self.handle(event);
         let cost = self.costs.entry(work).or_default();
@@ -309,7 +320,7 @@
             Event::Loaded { model, .. } => (*model, Work::Learn),
             _ => return Work::Tick,
         };
-        let step = (self.now / RANKING_STEP) as u64;
+        let step = (self.now / RANKING_INTERVAL_MS) as u64;
         if self.ranked_in.insert(model, step) == Some(step) {
             work
         } else {
@@ -317,24 +328,24 @@
         }
     }
 
-    /// Feeds an event, plans what follows from it, and tells the CPU time that the dispatcher took.
+    /// Handles an event, schedules the events that follow from it, and returns the dispatcher's CPU time.
     fn handle(&mut self, event: Event) -> Duration {
         let mut actions = Vec::new();
         let began = thread_cpu();
         self.dispatcher.handle(self.now, event, &mut actions);
         let took = (thread_cpu() - began).saturating_sub(self.overhead);
         for action in actions {
-            self.carry_out(action);
+            self.execute(action);
         }
         took
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
             Action::Send { id, worker, .. } => self.send(id, worker),
             Action::Load { worker, model, copies } => self.order(worker, model, copies),
-            Action::Evict { worker, model } => _ = self.standing.remove(&(worker, model)),
-            Action::Timer { token, delay } => self.plan(delay, Event::Timer { token }),
+            Action::Evict { worker, model } => _ = self.loaded.remove(&(worker, model)),
+            Action::Timer { token, delay } => self.schedule(delay, Event::Timer { token }),
             Action::Refuse { .. }
             | Action::Fail { .. }
             | Action::Cancel { .. }
@@ -345,29 +356,30 @@
 
     fn send(&mut self, id: RequestId, worker: WorkerId) {
         let model = self.models.get(&id).copied().unwrap_or_default();
-        let stands = self.standing.contains(&(worker, model));
-        let (outcome, took) = if stands { (Outcome::Ok, CALL) } else { (Outcome::Miss, 2.0 * WIRE) };
+        let is_loaded = self.loaded.contains(&(worker, model));
+        let (outcome, took) =
+            if is_loaded { (Outcome::Ok, CALL_TIME_MS) } else { (Outcome::Miss, 2.0 * ONE_WAY_DELAY_MS) };
         let attempts = self.attempts.entry(id).or_default();
         let attempt = *attempts;
         *attempts += 1;
-        self.served += u64::from(stands);
+        self.served += u64::from(is_loaded);
         let (warmth, crowd, report) = (Warmth::Untold, None, None);
-        let end = Finished { id, attempt, worker, closed: stands, outcome, took, warmth, crowd, report };
-        self.plan(took, Event::Finished(end));
+        let end = Finished { id, attempt, worker, closed: is_loaded, outcome, took, warmth, crowd, report };
+        self.schedule(took, Event::Finished(end));
     }
 
     fn order(&mut self, worker: WorkerId, model: ModelId, copies: u32) {
-        let stood = self.standing.contains(&(worker, model));
+        let was_loaded = self.loaded.contains(&(worker, model));
         if copies > 0 {
-            self.standing.insert((worker, model));
+            self.loaded.insert((worker, model));
         }
-        let took = if copies > 0 && !stood { LOAD } else { 2.0 * WIRE };
-        let copies = u32::from(stood || copies > 0);
-        self.plan(took, Event::Loaded { worker, model, outcome: Outcome::Ok, copies, took });
+        let took = if copies > 0 && !was_loaded { LOAD_TIME_MS } else { 2.0 * ONE_WAY_DELAY_MS };
+        let copies = u32::from(was_loaded || copies > 0);
+        self.schedule(took, Event::Loaded { worker, model, outcome: Outcome::Ok, copies, took });
     }
 }
 
-/// Which function is called how often.
+/// Distribution of calls over functions.
 enum Popularity {
     Even(u64),
     Skewed(Zipf<f64>),
--- a/crates/rig/src/scale/deferred.rs
+++ b/crates/rig/src/scale/deferred.rs
@@ -1,5 +1,5 @@
-//! The experiment `deferred`: what deferred calls and idempotency keys cost in CPU, memory, bytes on disk and
-//! bytes to other nodes, over calls a second and over nodes that keep copies.
+//! The experiment `deferred`: cost of deferred calls and idempotency keys in CPU, memory, bytes on disk and bytes sent
+//! to other nodes, by calls per second and by the number of nodes that keep copies of the records.
 //!
 //! All calls go to the first node; the others keep copies. Bytes between nodes pass a [`Relay`] that counts them.
 use super::deploy::DeployFile;
@@ -18,41 +18,42 @@
 
 const WORKERS: usize = 4;
 const FUNCTIONS: usize = 8;
-/// Memory of a daemon in MB, as the plan has it.
+/// Memory limit of a daemon, in MB, as planned for production.
 const MEMORY_MB: u64 = 256;
-/// Work and loads of workers whose own pace is of no interest.
-const QUICK: Duration = Duration::from_millis(1);
+/// Execution and load time of the emulated workers; their speed is not measured here.
+const EMULATED_WORK_TIME: Duration = Duration::from_millis(1);
 const SETTLE: Duration = Duration::from_millis(500);
-/// After the last call, its end is kept and sent by then.
-const LAST_ENDS: Duration = Duration::from_millis(1500);
-/// Time between two swaps of digests: longer than a point, so that only the first swap and the pushes are counted.
-const NO_SWAPS_MS: u64 = 60_000;
-/// For how long repeats of a key are answered.
+/// Time after the last call by which its final record is stored and replicated.
+const FINAL_RECORDS_DELAY: Duration = Duration::from_millis(1500);
+/// Interval between digest exchanges, in milliseconds: longer than a point, so that only the first exchange and the
+/// pushes are counted.
+const DIGEST_INTERVAL_MS: u64 = 60_000;
+/// Deduplication window of idempotency keys, in milliseconds.
 const KEY_WINDOW_MS: u64 = 6000;
-const MICROSECONDS: f64 = 1e6;
+const MICROSECONDS_PER_SECOND: f64 = 1e6;
 
-/// What the experiment is told on the command line.
+/// Command-line options of the experiment.
 #[derive(Args, Clone, Debug)]
 pub struct Options {
-    /// Calls a second of one node.
+    /// Calls per second to a single node.
     #[arg(long, value_delimiter = ',', default_values_t = [10.0, 50.0, 200.0, 500.0])]
     pub rates: Vec<f64>,
-    /// Calls a second of the first of several nodes.
+    /// Calls per second to the first of several nodes.
     #[arg(long, value_delimiter = ',', default_values_t = [10.0, 50.0, 200.0])]
     pub shared_rates: Vec<f64>,
     /// Numbers of nodes that keep copies of the records, the one that is called included.
     #[arg(long, value_delimiter = ',', default_values_t = [2, 3])]
     pub nodes: Vec<usize>,
-    /// Calls a second at which kinds of calls are compared.
+    /// Calls per second at which the kinds of calls are compared.
     #[arg(long, default_value_t = 159.0)]
     pub compared_rate: f64,
-    /// For how long calls are made at each size, in seconds.
+    /// Duration of the calls at each size, in seconds.
     #[arg(long, default_value_t = 3.0)]
     pub seconds: f64,
-    /// Bytes of a call's body; its answer has as many.
+    /// Size of a call's body, in bytes; its answer has the same size.
     #[arg(long, default_value_t = 256)]
     pub body: usize,
-    /// Calls that are waited for at a time.
+    /// Maximum number of concurrent calls.
     #[arg(long, default_value_t = 32)]
     pub threads: usize,
 }
@@ -78,7 +79,7 @@
     nodes: usize,
 }
 
-/// Measures and returns the figures.
+/// Runs the experiment and returns its measurements.
 pub fn run(context: &ScaleContext, options: &Options) -> Result<Vec<Measurement>, ScaleError> {
     let mut measurements = Vec::new();
     for style in [HELD, HELD_KEYED, DEFERRED, DEFERRED_KEYED] {
@@ -100,25 +101,25 @@
     Ok(measurements)
 }
 
-/// What one node has used and holds.
+/// Resources that one node uses at one instant.
 #[derive(Clone, Copy, Debug, Default)]
-struct NodeLook {
+struct NodeSnapshot {
     cpu_s: f64,
     resident: f64,
     log_bytes: f64,
-    /// Bytes that it had the disk write, the pages' rest included.
+    /// Bytes written to disk, in whole pages.
     disk_bytes: f64,
     final_bytes: f64,
     key_bytes: f64,
     refused_for_room: f64,
 }
 
-/// What one point gave.
+/// Readings at one point.
 struct Reading {
     accepted: f64,
     other: f64,
     span_s: f64,
-    nodes: Vec<(NodeLook, NodeLook)>,
+    nodes: Vec<(NodeSnapshot, NodeSnapshot)>,
     sent_bytes: f64,
     /// Connections to the copies while calls were made, and since the start.
     connections: f64,
@@ -129,7 +130,7 @@
     fn measure(&self, context: &ScaleContext, options: &Options) -> Result<Reading, ScaleError> {
         let style = self.style.name.replace(", ", "-");
         let folder = context.out.join(format!("deferred-{style}-{}-{}", self.nodes, self.rate));
-        // What an earlier run left would be read as records.
+        // The daemon would load the records of an earlier run.
         let _ = std::fs::remove_dir_all(&folder);
         let found = self.measure_in(context, options, &folder);
         let _ = std::fs::remove_dir_all(&folder);
@@ -142,14 +143,20 @@
         options: &Options,
         folder: &Path,
     ) -> Result<Reading, ScaleError> {
-        let kind = Kind { load: QUICK, work: QUICK, cold: QUICK, slots: 1024, ..Kind::default() };
+        let kind = Kind {
+            load: EMULATED_WORK_TIME,
+            work: EMULATED_WORK_TIME,
+            cold: EMULATED_WORK_TIME,
+            slots: 1024,
+            ..Kind::default()
+        };
         let schedule = FaultSchedule { seed: context.seed, fault_rate: 0.0 };
         let fleet = Fleet::start(WORKERS, kind, schedule)?;
         let ports = free_ports(self.nodes)?;
         let relays: Vec<Relay> =
             ports[1..].iter().map(|port| Relay::start(*port)).collect::<Result<_, _>>()?;
         let mut nodes = Vec::new();
-        // The node that is called starts last: those that it pushes to are there.
+        // The node that gets the calls starts last, so that the nodes that it pushes to are running.
         for (number, port) in ports.iter().enumerate().rev() {
             let peers: Vec<u16> = match number {
                 0 => relays.iter().map(|relay| relay.address.port()).collect(),
@@ -170,19 +177,19 @@
         relays: &[Relay],
         seed: u64,
     ) -> Result<Reading, ScaleError> {
-        // What is used by the first calls alone is not counted.
+        // Warm-up: the one-time costs of first calls are not counted.
         let warm_up = Duration::from_secs_f64(FUNCTIONS as f64 / self.rate);
         load::run(nodes[0].address, self.arrivals(options, seed, 0), warm_up, options.threads)?;
         std::thread::sleep(SETTLE);
-        let before = look_at_all(nodes)?;
-        let (bytes, connections) = passed(relays);
+        let before = snapshot_all(nodes)?;
+        let (bytes, connections) = relayed(relays);
         let began = Instant::now();
         let span = Duration::from_secs_f64(options.seconds);
         let outcome = load::run(nodes[0].address, self.arrivals(options, seed, 1), span, options.threads)?;
         let span_s = began.elapsed().as_secs_f64();
-        std::thread::sleep(LAST_ENDS);
-        let after = look_at_all(nodes)?;
-        let (bytes_later, connections_later) = passed(relays);
+        std::thread::sleep(FINAL_RECORDS_DELAY);
+        let after = snapshot_all(nodes)?;
+        let (bytes_later, connections_later) = relayed(relays);
         let wanted = if self.style.deferred { 202 } else { 200 };
         let (accepted, other) = counts(&outcome, wanted);
         if accepted <= 0.0 {
@@ -199,7 +206,7 @@
         })
     }
 
-    /// Calls at even distances, without an end; keys differ by run.
+    /// An endless sequence of calls at even intervals; idempotency keys differ by run.
     fn arrivals(&self, options: &Options, seed: u64, run: u64) -> impl Iterator<Item = Arrival> + Send {
         let Point { style, rate, .. } = *self;
         let body = options.body;
@@ -219,7 +226,7 @@
 }
 
 fn deploy(number: usize, port: u16, peers: &[u16], fleet: &Fleet) -> String {
-    let mut tables = format!("interval_ms = {NO_SWAPS_MS}\n");
+    let mut tables = format!("interval_ms = {DIGEST_INTERVAL_MS}\n");
     let _ = writeln!(tables, "[[class]]\nname = \"post\"\naim_ms = 750\ngive_up_ms = 3000");
     let _ = writeln!(tables, "effect = \"token\"\ndedup_window_ms = {KEY_WINDOW_MS}");
     for function_number in 0..FUNCTIONS {
@@ -240,11 +247,11 @@
         .text()
 }
 
-fn look_at_all(nodes: &[DaemonProcess]) -> Result<Vec<NodeLook>, ScaleError> {
+fn snapshot_all(nodes: &[DaemonProcess]) -> Result<Vec<NodeSnapshot>, ScaleError> {
     nodes.iter().map(look).collect()
 }
 
-fn look(node: &DaemonProcess) -> Result<NodeLook, ScaleError> {
+fn look(node: &DaemonProcess) -> Result<NodeSnapshot, ScaleError> {
     let status: Value = serde_json::from_slice(&node.request("GET", "/v1/status", b"")?.body)
         .map_err(|error| ScaleError::Failed(format!("status: {error}")))?;
     let accounts = status["memory"]["accounts"].as_array().cloned().unwrap_or_default();
@@ -254,7 +261,7 @@
     };
     let used = node.process().usage()?;
     let log = std::fs::metadata(node.folder().join("data").join("records.log"));
-    Ok(NodeLook {
+    Ok(NodeSnapshot {
         cpu_s: used.cpu_s,
         resident: used.resident,
         log_bytes: log.map_or(0.0, |log| log.len() as f64),
@@ -265,21 +272,21 @@
     })
 }
 
-/// Bytes that a process had the block layer write.
+/// Bytes that a process caused to be written to the block layer.
 fn disk_bytes(process: u32) -> Result<f64, ScaleError> {
     let text = std::fs::read_to_string(format!("/proc/{process}/io"))?;
     let line = text.lines().find_map(|line| line.strip_prefix("write_bytes:"));
     let bytes = line.and_then(|bytes| bytes.trim().parse().ok());
-    bytes.ok_or_else(|| ScaleError::Failed("the process's io can't be read".into()))
+    bytes.ok_or_else(|| ScaleError::Failed("/proc io has no readable write_bytes line".into()))
 }
 
-fn passed(relays: &[Relay]) -> (u64, u64) {
+fn relayed(relays: &[Relay]) -> (u64, u64) {
     let bytes = relays.iter().map(Relay::bytes).sum();
     let connections = relays.iter().map(Relay::connections).sum();
     (bytes, connections)
 }
 
-/// Answers with a status, and all others.
+/// Number of answers with the wanted status, and of all others.
 fn counts(outcome: &Outcome, wanted: u16) -> (f64, f64) {
     let all: u64 = outcome.values().map(load::Group::count).sum();
     let of_status = |group: &load::Group| group.statuses.get(&wanted).copied().unwrap_or(0);
@@ -299,7 +306,7 @@
         add("calls taken a second", calls / self.span_s, "calls/s");
         let (first, copies) = self.nodes.split_at(1);
         for (before, after) in first {
-            add("CPU a call", (after.cpu_s - before.cpu_s) * MICROSECONDS / calls, "us");
+            add("CPU a call", (after.cpu_s - before.cpu_s) * MICROSECONDS_PER_SECOND / calls, "us");
             add("log a call", (after.log_bytes - before.log_bytes) / calls, "bytes");
             add("disk a call", (after.disk_bytes - before.disk_bytes) / calls, "bytes");
             add("resident a call", (after.resident - before.resident) / calls, "bytes");
@@ -311,10 +318,10 @@
             return measurements;
         }
         let count = copies.len() as f64;
-        let mean = |of: fn(&NodeLook) -> f64| {
+        let mean = |of: fn(&NodeSnapshot) -> f64| {
             copies.iter().map(|(before, after)| of(after) - of(before)).sum::<f64>() / count
         };
-        add("copy: CPU a call", mean(|look| look.cpu_s) * MICROSECONDS / calls, "us");
+        add("copy: CPU a call", mean(|look| look.cpu_s) * MICROSECONDS_PER_SECOND / calls, "us");
         add("copy: log a call", mean(|look| look.log_bytes) / calls, "bytes");
         add("copy: resident a call", mean(|look| look.resident) / calls, "bytes");
         add("bytes sent a call and copy", self.sent_bytes / calls / count, "bytes");
--- a/crates/rig/src/scale/deploy.rs
+++ b/crates/rig/src/scale/deploy.rs
@@ -1,11 +1,11 @@
-//! Deploy files of measured daemons.
+//! Deploy files of the daemons under test.
 use std::fmt::Write;
 use std::path::Path;
 
 /// The class of all functions.
 pub const CLASS: &str = "check";
 
-/// What a deploy file says.
+/// Builder of a deploy file.
 #[derive(Clone, Debug, Default)]
 pub struct DeployFile {
     /// Lines before the first table.
@@ -21,31 +21,31 @@
         DeployFile { head, tables: String::new() }
     }
 
-    /// The memory that the process may take, in MB.
+    /// Sets the memory limit of the process, in MB.
     pub fn memory_mb(mut self, memory_mb: u64) -> Self {
         let _ = writeln!(self.head, "memory_mb = {memory_mb}");
         self
     }
 
-    /// Most descriptors that the process may hold.
+    /// Sets the maximum number of descriptors of the process.
     pub fn sockets(mut self, sockets: usize) -> Self {
         let _ = writeln!(self.head, "sockets = {sockets}");
         self
     }
 
-    /// The node's zone.
+    /// Sets the zone of the node.
     pub fn zone(mut self, zone: &str) -> Self {
         let _ = writeln!(self.head, "zone = \"{zone}\"");
         self
     }
 
-    /// Where state is kept.
+    /// Sets the folder in which state is stored.
     pub fn data_dir(mut self, folder: &Path) -> Self {
         let _ = writeln!(self.head, "data_dir = {:?}", folder.display().to_string());
         self
     }
 
-    /// A port for replication, and those of the other nodes.
+    /// Sets the replication port of the node and those of its peers.
     pub fn replication(mut self, port: u16, peers: &[u16]) -> Self {
         let addresses: Vec<String> = peers.iter().map(|peer| format!("\"127.0.0.1:{peer}\"")).collect();
         let _ = writeln!(self.tables, "[replication]\nlisten = \"127.0.0.1:{port}\"");
@@ -53,13 +53,13 @@
         self
     }
 
-    /// The part of the memory that functions and workers may take, in percent.
+    /// Sets the share of the memory for functions and workers, in percent.
     pub fn catalog_percent(mut self, percent: f64) -> Self {
         let _ = writeln!(self.tables, "[memory.shares]\ncatalog = {percent:?}");
         self
     }
 
-    /// Functions that the file configures.
+    /// Adds `count` functions.
     pub fn functions(mut self, count: usize) -> Self {
         for number in 0..count {
             let name = function_name(number);
@@ -69,7 +69,7 @@
         self
     }
 
-    /// Any further tables.
+    /// Appends further tables.
     pub fn tables(mut self, tables: &str) -> Self {
         self.tables.push_str(tables);
         self
@@ -83,20 +83,20 @@
     }
 }
 
-/// The name of a function by its number; as long as names in a large deployment are.
+/// The name of a function by its number; its length is typical of names in a large deployment.
 pub fn function_name(number: usize) -> String {
     format!("household-score-{number:06}")
 }
 
-/// The memory of a function in a deploy file, and of one that is configured over the API unless told otherwise, in MB.
+/// Memory of a function in a deploy file, and the default of one that is configured over the API, in MB.
 const MEMORY_MB: f64 = 64.0;
 
-/// The body with which a function is configured over the API.
+/// Request body that configures a function over the API with the default memory.
 pub fn function_body() -> Vec<u8> {
     function_body_with_memory(MEMORY_MB)
 }
 
-/// The same for a function with another memory.
+/// Request body that configures a function with the given memory, in MB, over the API.
 pub fn function_body_with_memory(memory_mb: f64) -> Vec<u8> {
     format!(r#"{{"class":"{CLASS}","memory_mb":{memory_mb:?},"lanes":4}}"#).into_bytes()
 }
--- a/crates/rig/src/scale/feed.rs
+++ b/crates/rig/src/scale/feed.rs
@@ -1,13 +1,15 @@
-//! The change feed at scale: hollow followers in a few processes against three control nodes that are whole
-//! daemons, beside two whole daemons that follow as well.
+//! The experiment `feed`: the change feed at scale. Many headless followers in a few processes, and two whole daemons,
+//! follow three control nodes, which are whole daemons too.
 //!
-//! A hollow follower is all of an invoker but its API: store and log on disk, feed client, catalog, roster and
-//! decisions. The two whole ones tell whether hollow ones cost what real ones do.
+//! A headless follower (`hollow` in the names of rows and files) is an invoker without its API: store and log on disk,
+//! feed client, catalog, roster and decisions. The two whole daemons show whether headless followers cost what real
+//! ones do.
 //!
-//! Bytes are told twice: as the daemons count their messages, and as the loopback interface counts frames with
-//! headers and acknowledgements ([`traffic`](super::traffic)); the latter holds the swaps between control nodes too.
+//! Bytes are reported twice: as the daemons count their messages, and as the loopback interface counts frames with
+//! headers and acknowledgements ([`traffic`](super::traffic)); the latter includes the replication between control
+//! nodes.
 //!
-//! Descriptors: a hollow follower takes one for its connection and one for its log; a control node one for each
+//! Descriptors: a headless follower uses one for its connection and one for its log; a control node uses one per
 //! follower.
 pub mod cluster;
 pub mod failures;
@@ -23,37 +25,39 @@
 use cluster::{Cluster, ClusterMemory, ClusterOptions, FeedTotals};
 use std::time::{Duration, Instant};
 
-/// After the last copy, what follows from it has ended by then.
-const QUIET: Duration = Duration::from_secs(5);
-/// Memory of a function before it is changed and after, in MB.
+/// Time after the last copy by which the activity that it causes has ended.
+const SETTLE_TIME: Duration = Duration::from_secs(5);
+/// Memory of a function before a change, in MB.
 pub(crate) const OLD_MEMORY_MB: f64 = 64.0;
+/// Memory of a function after a change, in MB.
 pub(crate) const NEW_MEMORY_MB: f64 = 128.0;
 
-/// What the experiment is told on the command line.
+/// Command-line options of the experiment.
 #[derive(Args, Clone, Debug)]
 pub struct Options {
-    /// Numbers of hollow followers.
+    /// Numbers of headless followers.
     #[arg(long, value_delimiter = ',', default_values_t = [1usize, 4, 16, 64, 200])]
     pub followers: Vec<usize>,
     /// Numbers of functions.
     #[arg(long, value_delimiter = ',', default_values_t = [1000usize])]
     pub functions: Vec<usize>,
-    /// For how long idle nodes are watched, in seconds.
+    /// Time for which idle nodes are measured, in seconds.
     #[arg(long, default_value_t = 20.0)]
     pub idle_seconds: f64,
-    /// Single changes that are timed at each size.
+    /// Number of single changes timed at each size.
     #[arg(long, default_value_t = 10)]
     pub changes: usize,
-    /// Changes in the burst at each size; 0 for none.
+    /// Number of changes in the burst at each size; 0 for no burst.
     #[arg(long, default_value_t = 100)]
     pub burst: usize,
-    /// Changes in whose instant a control node is killed or suspended, at the largest size.
+    /// Number of changes during which a control node is killed or suspended, at the largest size.
     #[arg(long, default_value_t = 0)]
     pub failures: usize,
-    /// Times that a control node sleeps through a change and wakes up alone, at the largest size.
+    /// Number of times that a control node is suspended during a change and then resumed while the others are
+    /// suspended, at the largest size.
     #[arg(long, default_value_t = 0)]
     pub stale: usize,
-    /// Hollow followers in a process.
+    /// Number of headless followers per process.
     #[arg(long, default_value_t = 55)]
     pub per_process: usize,
     /// Memory of the cluster's nodes.
@@ -62,7 +66,7 @@
 }
 
 impl Options {
-    /// What a cluster of a size is like.
+    /// Options of a cluster of the given size.
     pub fn cluster(&self, followers: usize, functions: usize) -> ClusterOptions {
         ClusterOptions { followers, functions, per_process: self.per_process, memory: self.memory }
     }
@@ -83,7 +87,7 @@
             }
             measurements.extend(rows.measurements);
             if let Err(error) = end {
-                // What was measured before is told all the same.
+                // Measurements taken before the error are kept.
                 eprintln!("feed: {followers} followers, {functions} functions: {error}");
             }
         }
@@ -115,7 +119,7 @@
     let cluster_options = options.cluster(rows.followers, rows.functions);
     let mut cluster = Cluster::start_controls(&context.program, folder, &cluster_options)?;
     empty_start(&mut cluster, rows)?;
-    std::thread::sleep(QUIET);
+    std::thread::sleep(SETTLE_TIME);
     idle(&mut cluster, options, rows)?;
     single_changes(&mut cluster, options, rows)?;
     if options.burst > 0 {
@@ -141,7 +145,7 @@
     Ok(())
 }
 
-/// Followers with an empty disk have a copy sent.
+/// Starts followers with empty disks, which get a full copy from the control nodes.
 fn empty_start(cluster: &mut Cluster, rows: &mut Rows) -> Result<(), ScaleError> {
     let bytes = loopback_bytes()?;
     let began = Instant::now();
@@ -149,7 +153,7 @@
     cluster.wait_until_current(began)?;
     cluster.wait_until_following()?;
     let took = began.elapsed();
-    let totals = cluster.hollow_totals()?;
+    let totals = cluster.headless_totals()?;
     let followers = rows.followers as f64;
     let nodes = followers + cluster::WHOLE_FOLLOWERS as f64;
     rows.add("empty start: message bytes a follower", totals.bytes() / followers, "bytes");
@@ -166,39 +170,39 @@
     let followers = rows.followers as f64;
     let whole = cluster::WHOLE_FOLLOWERS as f64;
     let controls = cluster::CONTROLS as f64;
-    let hollow_bytes = (after.hollow.bytes() - before.hollow.bytes()) / span / followers;
+    let headless_bytes = (after.hollow.bytes() - before.hollow.bytes()) / span / followers;
     let whole_bytes = (after.whole.bytes() - before.whole.bytes()) / span / whole;
     let control_bytes = (after.controls.bytes() - before.controls.bytes()) / span / controls;
-    let hollow_cpu = (after.hollow_usage.cpu_s - before.hollow_usage.cpu_s) / span / followers;
+    let headless_cpu = (after.headless_usage.cpu_s - before.headless_usage.cpu_s) / span / followers;
     let whole_cpu = (after.whole_usage.cpu_s - before.whole_usage.cpu_s) / span / whole;
     let control_cpu = (after.control_usage.cpu_s - before.control_usage.cpu_s) / span / controls;
     let roleless_cpu = (after.roleless_usage.cpu_s - before.roleless_usage.cpu_s) / span;
-    rows.add("idle message bytes a hollow follower", hollow_bytes, "bytes/s");
+    rows.add("idle message bytes a hollow follower", headless_bytes, "bytes/s");
     rows.add("idle message bytes a whole follower", whole_bytes, "bytes/s");
     rows.add("idle message bytes a control node", control_bytes, "bytes/s");
     rows.add("idle frame bytes of all", (after.frames - before.frames) / span, "bytes/s");
-    rows.add("idle cpu a hollow follower", hollow_cpu * 100.0, "% of a core");
+    rows.add("idle cpu a hollow follower", headless_cpu * 100.0, "% of a core");
     rows.add("idle cpu a whole follower", whole_cpu * 100.0, "% of a core");
     rows.add("idle cpu a daemon without feed", roleless_cpu * 100.0, "% of a core");
     rows.add("idle cpu a control node", control_cpu * 100.0, "% of a core");
-    rows.add("resident a hollow follower", after.hollow_usage.resident / followers / 1e6, "MB");
+    rows.add("resident a hollow follower", after.headless_usage.resident / followers / 1e6, "MB");
     rows.add("resident a whole follower", after.whole_usage.resident / whole / 1e6, "MB");
     rows.add("resident a daemon without feed", after.roleless_usage.resident / 1e6, "MB");
     rows.add("resident a control node", after.control_usage.resident / controls / 1e6, "MB");
     eprintln!(
-        "hollow against whole followers: {:.0}% of the bytes, {:.0}% of the processor time",
-        hollow_bytes / whole_bytes * 100.0,
-        hollow_cpu / whole_cpu * 100.0
+        "headless followers compared with whole ones: {:.0}% of the bytes, {:.0}% of the CPU time",
+        headless_bytes / whole_bytes * 100.0,
+        headless_cpu / whole_cpu * 100.0
     );
     Ok(())
 }
 
-/// Counters at an instant.
+/// Counters of the whole cluster at one instant.
 struct IdleState {
     hollow: FeedTotals,
     whole: FeedTotals,
     controls: FeedTotals,
-    hollow_usage: Usage,
+    headless_usage: Usage,
     whole_usage: Usage,
     control_usage: Usage,
     roleless_usage: Usage,
@@ -209,10 +213,10 @@
 impl IdleState {
     fn of(cluster: &mut Cluster) -> Result<Self, ScaleError> {
         Ok(IdleState {
-            hollow: cluster.hollow_totals()?,
+            hollow: cluster.headless_totals()?,
             whole: cluster.whole_totals()?,
             controls: cluster.control_totals()?,
-            hollow_usage: cluster.hollow_usage()?,
+            headless_usage: cluster.headless_usage()?,
             whole_usage: cluster.whole_usage()?,
             control_usage: cluster.control_usage()?,
             roleless_usage: cluster.roleless_usage()?,
@@ -238,31 +242,31 @@
     Ok(())
 }
 
-/// Many changes as fast as one control node takes them.
+/// Makes many changes, as fast as one control node accepts them.
 fn burst(cluster: &mut Cluster, options: &Options, rows: &mut Rows) -> Result<(), ScaleError> {
     let functions: Vec<String> = (0..options.burst).map(|number| format!("burst-{number}")).collect();
-    let before = cluster.hollow_totals()?;
+    let before = cluster.headless_totals()?;
     let times = cluster.change(&functions, OLD_MEMORY_MB, |controls, names| {
         cluster::configure(&controls[0], names, OLD_MEMORY_MB)
     })?;
-    let bytes = cluster.hollow_totals()?.bytes() - before.bytes();
+    let bytes = cluster.headless_totals()?.bytes() - before.bytes();
     let changes = (rows.followers * options.burst) as f64;
     rows.add("burst: until all changes are in force at all", longest_s(&times), "s");
     rows.add("burst: message bytes a change and follower", bytes / changes, "bytes");
     Ok(())
 }
 
-/// All hollow followers are killed and started at once on the data that they kept; one change comes meanwhile.
+/// Kills all headless followers and restarts them at once on their stored data; one change is made in between.
 fn restart_all(cluster: &mut Cluster, rows: &mut Rows) -> Result<(), ScaleError> {
     let before = cluster.copies()?;
-    cluster.kill_hollow_followers()?;
+    cluster.kill_headless_followers()?;
     let function = "while-down".to_string();
     cluster::configure(&cluster.controls[1], std::slice::from_ref(&function), OLD_MEMORY_MB)?;
     let began = Instant::now();
-    cluster.start_hollow_followers()?;
+    cluster.start_headless_followers()?;
     let times = cluster.wait_for(&[function], OLD_MEMORY_MB, began)?;
     let after = cluster.copies()?;
-    let totals = cluster.hollow_totals()?;
+    let totals = cluster.headless_totals()?;
     rows.add("all restarted: until all are current", longest_s(&times), "s");
     rows.add("all restarted: message bytes a follower", totals.bytes() / rows.followers as f64, "bytes");
     rows.add("all restarted: full copies", after.copies - before.copies, "copies");
--- a/crates/rig/src/scale/feed/cluster.rs
+++ b/crates/rig/src/scale/feed/cluster.rs
@@ -1,9 +1,9 @@
-//! Control nodes, whole followers and processes of hollow followers, started and ended together.
+//! A cluster of control nodes, whole followers and processes of headless followers, started and ended together.
 use super::host::{unexpected, FollowerHost};
 use super::protocol::{FollowerSummary, HostRequest, HostResponse};
 use crate::client::Client;
 use crate::scale::deploy::{function_body_with_memory, function_name, DeployFile};
-use crate::scale::in_force::{takes_calls, LONGEST_WAIT};
+use crate::scale::in_force::{takes_calls, MAX_WAIT};
 use crate::scale::process::{free_ports, DaemonProcess, Usage};
 use crate::scale::ScaleError;
 use clap::Args;
@@ -12,46 +12,46 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Control nodes, each in a zone of its own.
+/// Number of control nodes, each in its own zone.
 pub const CONTROLS: usize = 3;
-/// Whole daemons that follow.
+/// Number of followers that are whole daemons.
 pub const WHOLE_FOLLOWERS: usize = 2;
-/// Followers that one control node takes: all of them, should the others be away.
-const MOST_FOLLOWERS: usize = 900;
-/// Descriptors of a control node; followers may take half of them.
+/// Maximum number of followers of a control node: enough for all of them while the other control nodes are down.
+const MAX_FOLLOWERS: usize = 900;
+/// Maximum number of descriptors of a control node; followers may use half of them.
 const CONTROL_SOCKETS: usize = 4096;
-/// Longest time until the control nodes agree, or all followers are current after a start.
+/// Longest wait until the control nodes agree, or until all followers are current after a start.
 const SETTLE_LIMIT: Duration = Duration::from_secs(120);
-const POLL: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What memory the nodes of a cluster have, as told on the command line.
+/// Memory limits of the nodes of a cluster, from the command line.
 #[derive(Args, Clone, Copy, Debug)]
 pub struct ClusterMemory {
-    /// Memory of each control node, in MB.
+    /// Memory limit of each control node, in MB.
     #[arg(long, default_value_t = 1024)]
     pub control_memory_mb: u64,
-    /// Memory of each follower, in MB.
+    /// Memory limit of each follower, in MB.
     #[arg(long, default_value_t = 256)]
     pub follower_memory_mb: u64,
-    /// The part of the memory of a follower that functions and workers may take, in percent.
+    /// Share of a follower's memory for functions and workers, in percent.
     #[arg(long, default_value_t = 15.0)]
     pub follower_catalog_percent: f64,
 }
 
-/// What a cluster is like.
+/// Options of a cluster.
 #[derive(Clone, Copy, Debug)]
 pub struct ClusterOptions {
-    /// Hollow followers.
+    /// Number of headless followers.
     pub followers: usize,
-    /// Configured functions.
+    /// Number of configured functions.
     pub functions: usize,
-    /// Hollow followers in a process.
+    /// Number of headless followers per process.
     pub per_process: usize,
-    /// Memory of its nodes.
+    /// Memory limits of the nodes.
     pub memory: ClusterMemory,
 }
 
-/// Bytes of messages in both directions, as daemons count them.
+/// Message bytes in each direction, as the daemons count them.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FeedTotals {
     received: f64,
@@ -59,7 +59,7 @@
 }
 
 impl FeedTotals {
-    /// Both directions.
+    /// Total bytes of both directions.
     pub fn bytes(&self) -> f64 {
         self.received + self.sent
     }
@@ -70,12 +70,12 @@
     }
 }
 
-/// What the control nodes count of followers that could not simply go on, together.
+/// Counters of followers that couldn't resume the feed, summed over the control nodes.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CopyCounters {
-    /// Copies of more than one page that were begun.
+    /// Number of copies of more than one page that were begun.
     pub copies: f64,
-    /// Comparisons by buckets.
+    /// Number of comparisons by buckets.
     pub comparisons: f64,
 }
 
@@ -88,7 +88,7 @@
     /// The control nodes.
     pub controls: Vec<DaemonProcess>,
     whole: Vec<DaemonProcess>,
-    /// A daemon that has no part in the feed, for what every daemon costs.
+    /// A daemon without a role in the feed, as a baseline for the cost of any daemon.
     roleless: Option<DaemonProcess>,
     hosts: Vec<FollowerHost>,
 }
@@ -126,7 +126,7 @@
         Ok(cluster)
     }
 
-    /// Starts all followers, whole and hollow, without waiting for their copies.
+    /// Starts all followers, whole and headless, without waiting for their copies.
     pub fn start_followers(&mut self) -> Result<(), ScaleError> {
         for number in 0..WHOLE_FOLLOWERS {
             let name = format!("whole-{number}");
@@ -137,17 +137,17 @@
         let roleless = DeployFile::new("roleless").memory_mb(self.options.memory.follower_memory_mb);
         let folder = self.folder.join("roleless");
         self.roleless = Some(DaemonProcess::start(&self.program, &folder, &roleless.text())?);
-        self.start_hollow_followers()
+        self.start_headless_followers()
     }
 
-    /// Starts all hollow followers at once, on what their folders hold.
-    pub fn start_hollow_followers(&mut self) -> Result<(), ScaleError> {
+    /// Starts all headless followers at once, on the data in their folders.
+    pub fn start_headless_followers(&mut self) -> Result<(), ScaleError> {
         let mut first = 0;
         while first < self.options.followers {
             let last = (first + self.options.per_process).min(self.options.followers);
             let mut deploy_files = Vec::new();
             for number in first..last {
-                deploy_files.push(self.write_hollow_follower(number)?);
+                deploy_files.push(self.write_headless_follower(number)?);
             }
             let folder = self.folder.join(format!("host-{first}"));
             self.hosts.push(FollowerHost::spawn(&folder, deploy_files)?);
@@ -159,23 +159,23 @@
         Ok(())
     }
 
-    /// Kills all hollow followers; their files stay.
-    pub fn kill_hollow_followers(&mut self) -> Result<(), ScaleError> {
-        // Each is killed when its host is dropped.
+    /// Kills all headless followers; their files stay.
+    pub fn kill_headless_followers(&mut self) -> Result<(), ScaleError> {
+        // Dropping a host kills its process.
         self.hosts.clear();
         Ok(())
     }
 
-    /// Removes what the hollow followers keep on disk; they must have been killed.
-    pub fn empty_hollow_disks(&self) -> Result<(), ScaleError> {
+    /// Removes the stored data of the headless followers, which must have been killed before.
+    pub fn clear_headless_disks(&self) -> Result<(), ScaleError> {
         for number in 0..self.options.followers {
-            std::fs::remove_dir_all(self.hollow_folder(number).join("data"))?;
+            std::fs::remove_dir_all(self.headless_folder(number).join("data"))?;
         }
         Ok(())
     }
 
-    /// Stops all hollow followers from running, or lets them run again.
-    pub fn suspend_hollow_followers(&self, suspended: bool) -> Result<(), ScaleError> {
+    /// Suspends or resumes all headless followers.
+    pub fn suspend_headless_followers(&self, suspended: bool) -> Result<(), ScaleError> {
         for host in &self.hosts {
             if suspended {
                 host.process().suspend()?;
@@ -192,20 +192,22 @@
         self.wait_for(&[function_name(last)], super::OLD_MEMORY_MB, began)
     }
 
-    /// Waits until no hollow follower has anything of a copy still to come.
+    /// Waits until all headless followers have received their copies and follow the feed.
     pub fn wait_until_following(&mut self) -> Result<(), ScaleError> {
         let began = Instant::now();
         while !self.summaries()?.iter().all(|summary| summary.is_following) {
             if began.elapsed() > SETTLE_LIMIT {
-                return Err(ScaleError::Failed("some followers do not come to follow".into()));
+                return Err(ScaleError::Failed(
+                    "some followers did not follow the feed within the time limit".into(),
+                ));
             }
-            std::thread::sleep(POLL);
+            std::thread::sleep(POLL_INTERVAL);
         }
         Ok(())
     }
 
-    /// Waits until all followers have these functions with that memory; the time of each since `began`, the hollow ones
-    /// first.
+    /// Waits until all followers have the functions with `memory_mb`; returns the time of each follower since `began`,
+    /// the headless ones first.
     pub fn wait_for(
         &mut self,
         functions: &[String],
@@ -216,14 +218,14 @@
         self.end_wait(&waiting, began)
     }
 
-    /// Makes a change and waits until it is in force at all followers; the time of each since the change began.
+    /// Makes a change and waits until it is in force at all followers; returns the time of each since the change began.
     pub fn change(
         &mut self,
         functions: &[String],
         memory_mb: f64,
         make: impl FnOnce(&[DaemonProcess], &[String]) -> Result<(), ScaleError>,
     ) -> Result<Vec<Duration>, ScaleError> {
-        let waiting = self.begin_wait(functions, memory_mb, LONGEST_WAIT)?;
+        let waiting = self.begin_wait(functions, memory_mb, MAX_WAIT)?;
         let began = Instant::now();
         make(&self.controls, functions)?;
         self.end_wait(&waiting, began)
@@ -245,13 +247,15 @@
 
     fn end_wait(&mut self, waiting: &Waiting, began: Instant) -> Result<Vec<Duration>, ScaleError> {
         let began_at = unix_time() - began.elapsed().as_secs_f64();
-        // Whole followers are asked over their API, meanwhile hollow ones look for themselves.
+        // Whole followers are polled over their API; the headless ones check their own catalogs meanwhile.
         let whole = wait_for_whole(&self.whole, waiting, began);
         let mut times = Vec::new();
         let mut late = 0;
         for host in &mut self.hosts {
             let HostResponse::HeldSince(held_since) = host.receive()? else {
-                return Err(ScaleError::Failed("an answer to another question".into()));
+                return Err(ScaleError::Failed(
+                    "a follower host answered with an unexpected response type".into(),
+                ));
             };
             for at in held_since {
                 match at {
@@ -270,7 +274,7 @@
         Ok(times)
     }
 
-    /// The memory of a function at each hollow follower, in MB.
+    /// The memory of a function at each headless follower, in MB.
     pub fn memory_of(&mut self, function: &str) -> Result<Vec<Option<f64>>, ScaleError> {
         let mut memory = Vec::new();
         for host in &mut self.hosts {
@@ -282,7 +286,7 @@
         Ok(memory)
     }
 
-    /// How each hollow follower stands.
+    /// The state of each headless follower.
     pub fn summaries(&mut self) -> Result<Vec<FollowerSummary>, ScaleError> {
         let mut summaries = Vec::new();
         for host in &mut self.hosts {
@@ -294,13 +298,13 @@
         Ok(summaries)
     }
 
-    /// Where a control node serves its feed.
+    /// The address at which a control node serves its feed.
     pub fn feed_address(&self, control: usize) -> SocketAddr {
         SocketAddr::from(([127, 0, 0, 1], self.feed_ports[control]))
     }
 
-    /// Message bytes of the hollow followers since their start.
-    pub fn hollow_totals(&mut self) -> Result<FeedTotals, ScaleError> {
+    /// Message bytes of the headless followers since their start.
+    pub fn headless_totals(&mut self) -> Result<FeedTotals, ScaleError> {
         let mut totals = FeedTotals::default();
         for summary in self.summaries()? {
             totals.add(summary.received_bytes as f64, summary.sent_bytes as f64);
@@ -318,7 +322,7 @@
         totals_of(&self.controls, "feed")
     }
 
-    /// What the control nodes count of copies.
+    /// Copy counters, summed over the control nodes.
     pub fn copies(&self) -> Result<CopyCounters, ScaleError> {
         let mut counters = CopyCounters::default();
         for control in &self.controls {
@@ -329,37 +333,39 @@
         Ok(counters)
     }
 
-    /// What the hollow followers have used and hold, together.
-    pub fn hollow_usage(&self) -> Result<Usage, ScaleError> {
+    /// Total CPU time and memory of the headless followers.
+    pub fn headless_usage(&self) -> Result<Usage, ScaleError> {
         let usages = self.hosts.iter().map(|host| host.process().usage());
         sum(usages)
     }
 
-    /// What the whole followers have used and hold, together.
+    /// Total CPU time and memory of the whole followers.
     pub fn whole_usage(&self) -> Result<Usage, ScaleError> {
         sum(self.whole.iter().map(|daemon| daemon.process().usage()))
     }
 
-    /// What the daemon without a part in the feed has used and holds.
+    /// CPU time and memory of the daemon without a role in the feed.
     pub fn roleless_usage(&self) -> Result<Usage, ScaleError> {
         sum(self.roleless.iter().map(|daemon| daemon.process().usage()))
     }
 
-    /// What the control nodes have used and hold, together.
+    /// Total CPU time and memory of the control nodes.
     pub fn control_usage(&self) -> Result<Usage, ScaleError> {
         sum(self.controls.iter().map(|daemon| daemon.process().usage()))
     }
 
-    /// Waits until every control node takes calls for a function.
+    /// Waits until every control node accepts calls to a function.
     pub fn wait_until_controls_know(&self, function: &str) -> Result<(), ScaleError> {
         let began = Instant::now();
         for control in &self.controls {
             let mut client = control.client();
             while !takes_calls(&mut client, function)? {
                 if began.elapsed() > SETTLE_LIMIT {
-                    return Err(ScaleError::Failed("the control nodes did not come to agree".into()));
+                    return Err(ScaleError::Failed(
+                        "some control nodes did not receive all functions within the time limit".into(),
+                    ));
                 }
-                std::thread::sleep(POLL);
+                std::thread::sleep(POLL_INTERVAL);
             }
         }
         Ok(())
@@ -381,12 +387,12 @@
             .tables(&follow)
     }
 
-    fn hollow_folder(&self, number: usize) -> PathBuf {
+    fn headless_folder(&self, number: usize) -> PathBuf {
         self.folder.join(format!("hollow-{number}"))
     }
 
-    fn write_hollow_follower(&self, number: usize) -> Result<PathBuf, ScaleError> {
-        let folder = self.hollow_folder(number);
+    fn write_headless_follower(&self, number: usize) -> Result<PathBuf, ScaleError> {
+        let folder = self.headless_folder(number);
         std::fs::create_dir_all(&folder)?;
         let deploy_file = folder.join("deploy.toml");
         let deploy = self.follower_deploy(&format!("hollow-{number}"), number);
@@ -395,13 +401,13 @@
     }
 }
 
-/// Followers that have been asked to tell when they hold some functions.
+/// A pending wait for some functions, which the follower hosts have been asked to report.
 struct Waiting {
     functions: Vec<String>,
     limit: Duration,
 }
 
-/// Configures functions at a control node, one after the other over one connection.
+/// Configures functions at a control node, one by one over one connection.
 pub fn configure(control: &DaemonProcess, functions: &[String], memory_mb: f64) -> Result<(), ScaleError> {
     let mut client = control.client();
     let body = function_body_with_memory(memory_mb);
@@ -424,7 +430,7 @@
 fn control_deploy(options: &ClusterOptions, number: usize, feed_port: u16, peer_ports: &[u16]) -> DeployFile {
     let peers: Vec<u16> = peer_ports.iter().copied().filter(|port| *port != peer_ports[number]).collect();
     let functions = if number == 0 { options.functions } else { 0 };
-    let feed = format!("[feed]\nlisten = \"127.0.0.1:{feed_port}\"\nfollowers = {MOST_FOLLOWERS}\n");
+    let feed = format!("[feed]\nlisten = \"127.0.0.1:{feed_port}\"\nfollowers = {MAX_FOLLOWERS}\n");
     DeployFile::new(&format!("control-{number}"))
         .memory_mb(options.memory.control_memory_mb)
         .sockets(CONTROL_SOCKETS)
@@ -462,7 +468,7 @@
             if began.elapsed() > waiting.limit {
                 return Err(ScaleError::Failed(format!("a whole follower lacks {function}")));
             }
-            std::thread::sleep(POLL);
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
     Ok(began.elapsed())
--- a/crates/rig/src/scale/feed/failures.rs
+++ b/crates/rig/src/scale/feed/failures.rs
@@ -1,4 +1,4 @@
-//! Control nodes that are lost in the instant of a change, or that wake up with an old state.
+//! Injected faults of control nodes: one is lost during a change, or resumes with stale state.
 use super::cluster::{configure, Cluster, CONTROLS};
 use super::{NEW_MEMORY_MB, OLD_MEMORY_MB};
 use crate::scale::process::DaemonProcess;
@@ -7,15 +7,15 @@
 use rand_chacha::ChaCha8Rng;
 use std::time::{Duration, Instant};
 
-/// Longest span between a change and the loss of a control node.
-const LARGEST_OFFSET_MS: u64 = 30;
-/// After a control node has come back, it has followers and peers again by then.
+/// Longest time between a change and the loss of a control node, in milliseconds.
+const MAX_LOSS_OFFSET_MS: u64 = 30;
+/// Time after the return of a control node by which it is connected to followers and peers again.
 const SETTLE: Duration = Duration::from_secs(2);
-/// Longest wait until followers have gone to the only control node that is left.
+/// Longest wait until followers have moved to the only running control node.
 const MOVE_LIMIT: Duration = Duration::from_secs(20);
-/// For how long followers stay with a stale control node before they are looked at.
+/// Time that followers spend with a stale control node before they are checked.
 const STALE_STAY: Duration = Duration::from_secs(3);
-const POLL: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// How a control node is lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -24,7 +24,7 @@
     Suspended,
 }
 
-/// What was found while control nodes were lost.
+/// Times measured while control nodes were lost.
 #[derive(Clone, Debug, Default)]
 pub struct LossOutcome {
     /// The time until each change was in force at all followers.
@@ -33,22 +33,22 @@
     pub until_caught_up: Vec<Duration>,
 }
 
-/// Makes changes at one control node while another, that with the most followers, is killed or suspended within
-/// milliseconds of it.
+/// Makes changes at one control node; the one with the most followers is killed or suspended within milliseconds
+/// before or after each change.
 pub fn control_lost_at_a_change(
     cluster: &mut Cluster,
-    plays: usize,
+    repetitions: usize,
     seed: u64,
 ) -> Result<LossOutcome, ScaleError> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut outcome = LossOutcome::default();
-    for play in 0..plays {
+    for repetition in 0..repetitions {
         let (lost, followers) = busiest_control(cluster)?;
         let writer = (lost + rng.random_range(1..CONTROLS)) % CONTROLS;
         let loss = if rng.random() { Loss::Killed } else { Loss::Suspended };
         let lost_first: bool = rng.random();
-        let offset = Duration::from_millis(rng.random_range(0..=LARGEST_OFFSET_MS));
-        let function = format!("lost-{play}");
+        let offset = Duration::from_millis(rng.random_range(0..=MAX_LOSS_OFFSET_MS));
+        let function = format!("lost-{repetition}");
         let of_all = cluster.change(std::slice::from_ref(&function), OLD_MEMORY_MB, |controls, names| {
             if lost_first {
                 lose(&controls[lost], loss)?;
@@ -61,24 +61,24 @@
         })?;
         let longest = of_all.into_iter().max().unwrap_or_default();
         eprintln!(
-            "play {play}: control-{lost} with {followers} followers {loss:?}, first: {lost_first}, \
+            "repetition {repetition}: control-{lost} with {followers} followers {loss:?}, first: {lost_first}, \
              in force after {longest:?}"
         );
         outcome.until_in_force.push(longest);
-        let returns = Instant::now();
+        let returned_at = Instant::now();
         match loss {
             Loss::Killed => cluster.controls[lost].restart()?,
             Loss::Suspended => cluster.controls[lost].process().resume()?,
         }
         cluster.wait_until_controls_know(&function)?;
-        outcome.until_caught_up.push(returns.elapsed());
+        outcome.until_caught_up.push(returned_at.elapsed());
         std::thread::sleep(SETTLE);
     }
     Ok(outcome)
 }
 
-/// The control node that most hollow followers follow, and how many do. A control node that came back has few: followers
-/// stay where they went.
+/// The control node that most headless followers follow, and how many do. One that came back has
+/// few, as followers stay with the control node that they moved to.
 fn busiest_control(cluster: &mut Cluster) -> Result<(usize, usize), ScaleError> {
     let summaries = cluster.summaries()?;
     let counted = (0..CONTROLS).map(|control| {
@@ -99,22 +99,23 @@
     Ok(())
 }
 
-/// What followers did with a control node that had slept through a change.
+/// How followers reacted to a control node that was suspended during a change.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StaleOutcome {
-    /// Followers that followed it, over all plays.
+    /// Number of followers that followed it, over all repetitions.
     pub followed_stale: usize,
-    /// Followers at which the change was undone or missing, over all plays.
+    /// Number of followers at which the change was undone or missing, over all repetitions.
     pub taken_back: usize,
 }
 
-/// Suspends a control node, changes a function, and lets followers find nobody but the one that slept.
-pub fn stale_control_wakes(cluster: &mut Cluster, plays: usize) -> Result<StaleOutcome, ScaleError> {
+/// Suspends a control node, changes a function, then resumes it while the others are suspended, so that followers find
+/// only the stale one.
+pub fn stale_control_wakes(cluster: &mut Cluster, repetitions: usize) -> Result<StaleOutcome, ScaleError> {
     let mut outcome = StaleOutcome::default();
-    for play in 0..plays {
-        let stale = play % CONTROLS;
+    for repetition in 0..repetitions {
+        let stale = repetition % CONTROLS;
         let others = [(stale + 1) % CONTROLS, (stale + 2) % CONTROLS];
-        let function = [format!("stale-{play}")];
+        let function = [format!("stale-{repetition}")];
         cluster.change(&function, OLD_MEMORY_MB, |controls, names| {
             configure(&controls[others[0]], names, OLD_MEMORY_MB)
         })?;
@@ -131,7 +132,7 @@
         std::thread::sleep(STALE_STAY);
         let memory = cluster.memory_of(&function[0])?;
         let taken_back = memory.iter().filter(|memory| **memory != Some(NEW_MEMORY_MB)).count();
-        eprintln!("stale play {play}: {followed} followed control-{stale}, {taken_back} lost the change");
+        eprintln!("stale repetition {repetition}: {followed} followed control-{stale}, {taken_back} lost the change");
         outcome.followed_stale += followed;
         outcome.taken_back += taken_back;
         for other in others {
@@ -142,7 +143,7 @@
     Ok(outcome)
 }
 
-/// Waits until all hollow followers follow a control node; how many do in the end.
+/// Waits until all headless followers follow a control node, or until the limit; returns how many do.
 fn wait_until_followed(cluster: &mut Cluster, control: usize) -> Result<usize, ScaleError> {
     let address = cluster.feed_address(control);
     let began = Instant::now();
@@ -153,6 +154,6 @@
         if followed == summaries.len() || began.elapsed() > MOVE_LIMIT {
             return Ok(followed);
         }
-        std::thread::sleep(POLL);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
--- a/crates/rig/src/scale/feed/hollow.rs
+++ b/crates/rig/src/scale/feed/hollow.rs
@@ -1,4 +1,4 @@
-//! A process of hollow followers: the control code of the daemon, many times over, without the API.
+//! A process of headless followers: many instances of the daemon's control code, without the API.
 use super::protocol::{FollowerSummary, HostConfig, HostRequest, HostResponse};
 use crate::scale::ScaleError;
 use corkbay_feed::FollowerState;
@@ -17,30 +17,30 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-const POLL: Duration = Duration::from_millis(5);
-/// As often as the daemon drops what has expired.
-const SWEEP: Duration = Duration::from_secs(5);
-/// Connections to workers that a follower may have; there are none.
-const WORKER_CONNECTIONS: usize = 16;
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Interval at which expired records are removed, as in the daemon.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(5);
+/// Maximum number of connections to workers; none are made, as there are no workers.
+const MAX_WORKER_CONNECTIONS: usize = 16;
 
-/// Runs the followers and answers requests on standard input until it ends.
+/// Runs the followers and answers the requests on standard input until its end.
 pub fn serve(config: &HostConfig) -> Result<(), ScaleError> {
     logs::set_up();
     platform::set_up_coroutines();
     let base_bytes = accounts::measured_base();
     let mut followers = Vec::new();
     for deploy_file in &config.deploy_files {
-        followers.push(HollowFollower::start(deploy_file, base_bytes)?);
+        followers.push(HeadlessFollower::start(deploy_file, base_bytes)?);
     }
-    say(&HostResponse::Started)?;
+    write_response(&HostResponse::Started)?;
     for line in std::io::stdin().lock().lines() {
         let request = serde_json::from_str(&line?).map_err(std::io::Error::other)?;
-        say(&answer(&followers, &request))?;
+        write_response(&answer(&followers, &request))?;
     }
     Ok(())
 }
 
-fn say(response: &HostResponse) -> Result<(), ScaleError> {
+fn write_response(response: &HostResponse) -> Result<(), ScaleError> {
     let mut line = serde_json::to_vec(response).map_err(std::io::Error::other)?;
     line.push(b'\n');
     let mut output = std::io::stdout().lock();
@@ -49,9 +49,11 @@
     Ok(())
 }
 
-fn answer(followers: &[HollowFollower], request: &HostRequest) -> HostResponse {
+fn answer(followers: &[HeadlessFollower], request: &HostRequest) -> HostResponse {
     match request {
-        HostRequest::Status => HostResponse::Status(followers.iter().map(HollowFollower::summary).collect()),
+        HostRequest::Status => {
+            HostResponse::Status(followers.iter().map(HeadlessFollower::summary).collect())
+        }
         HostRequest::WaitForFunctions { functions, memory_mb, limit_ms } => {
             HostResponse::HeldSince(wait_for_functions(followers, functions, *memory_mb, *limit_ms))
         }
@@ -62,14 +64,14 @@
 }
 
 fn wait_for_functions(
-    followers: &[HollowFollower],
+    followers: &[HeadlessFollower],
     functions: &[String],
     memory_mb: f64,
     limit_ms: f64,
 ) -> Vec<Option<f64>> {
     let until = monotonic_ms() + limit_ms;
     let mut held_since: Vec<Option<f64>> = vec![None; followers.len()];
-    // How many of the functions each follower was seen to hold.
+    // For each follower, the number of leading functions that it is known to hold.
     let mut held: Vec<usize> = vec![0; followers.len()];
     loop {
         for (number, follower) in followers.iter().enumerate() {
@@ -85,19 +87,19 @@
         if held_since.iter().all(Option::is_some) || monotonic_ms() > until {
             return held_since;
         }
-        std::thread::sleep(POLL);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// All of an invoker but its API.
-struct HollowFollower {
+/// An invoker without its API.
+struct HeadlessFollower {
     catalog: Arc<Catalog>,
     follower: FollowerHandle,
-    /// It has timers of its own.
+    /// Kept alive for its timers.
     _invoker: Arc<Invoker>,
 }
 
-impl HollowFollower {
+impl HeadlessFollower {
     fn start(deploy_file: &Path, base_bytes: usize) -> Result<Self, ScaleError> {
         let deploy = Deploy::load(deploy_file).map_err(failed)?;
         let settings = deploy.settings();
@@ -110,7 +112,7 @@
         let give_up = deploy.classes.iter().map(|class| class.give_up_ms).collect();
         let catalog = Arc::new(Catalog::new(store.clone(), give_up));
         let connect = Duration::from_secs_f64(deploy.limits.connect_timeout_ms / 1000.0);
-        let limits = Limits { connect, connections: WORKER_CONNECTIONS, answer: deploy.answer_bytes() };
+        let limits = Limits { connect, connections: MAX_WORKER_CONNECTIONS, answer: deploy.answer_bytes() };
         let account = ledger.account(Purpose::Workers).clone();
         let workers = Arc::new(HttpWorkers::new(Style::Held, limits, account));
         let invoker = Invoker::new(&settings, rand::random(), workers, ledger.clone());
@@ -120,7 +122,7 @@
         let follow_settings = deploy.follow.as_ref().ok_or_else(|| failed("a follower without [follow]"))?;
         let options = follow_settings.options(&deploy.zone);
         let follower = follow(store, options, on_news(catalog.clone(), invoker.clone())).map_err(failed)?;
-        Ok(HollowFollower { catalog, follower, _invoker: invoker })
+        Ok(HeadlessFollower { catalog, follower, _invoker: invoker })
     }
 
     fn summary(&self) -> FollowerSummary {
@@ -133,7 +135,7 @@
         }
     }
 
-    /// The memory of a function as a call would find it.
+    /// The memory of a function, in MB, as a call would see it.
     fn memory_of(&self, function: &str) -> Option<f64> {
         Some(self.catalog.function(function)?.memory_mb)
     }
@@ -149,7 +151,7 @@
 
 fn sweep_regularly(store: Arc<Store>) {
     spawn(move || loop {
-        may::coroutine::sleep(SWEEP);
+        may::coroutine::sleep(SWEEP_INTERVAL);
         if let Err(error) = store.sweep() {
             tracing::error!(%error, "store");
         }
--- a/crates/rig/src/scale/feed/host.rs
+++ b/crates/rig/src/scale/feed/host.rs
@@ -1,4 +1,4 @@
-//! The rig's side of a process of hollow followers.
+//! Handle of a process of headless followers, used by the rig.
 use super::protocol::{HostConfig, HostRequest, HostResponse};
 use crate::scale::process::OwnedChild;
 use crate::scale::ScaleError;
@@ -7,8 +7,8 @@
 use std::path::{Path, PathBuf};
 use std::process::{ChildStdin, ChildStdout, Command, Stdio};
 
-/// A running process of hollow followers. It ends with this value, or when this process does: its standard input
-/// ends then.
+/// A running process of headless followers. It is killed when this value is dropped; if this process ends, it sees the
+/// end of its standard input and ends too.
 pub struct FollowerHost {
     child: OwnedChild,
     input: ChildStdin,
@@ -17,8 +17,8 @@
 }
 
 impl FollowerHost {
-    /// Starts this program again as a process of hollow followers with these deploy files; its configuration and log
-    /// go into a folder. Returns before they have been started.
+    /// Starts this executable as a process of headless followers with the given deploy files; its configuration and log
+    /// are written to `folder`. Returns before the followers have started.
     pub fn spawn(folder: &Path, deploy_files: Vec<PathBuf>) -> Result<Self, ScaleError> {
         std::fs::create_dir_all(folder)?;
         let followers = deploy_files.len();
@@ -34,7 +34,7 @@
         Ok(FollowerHost { child, input, output, followers })
     }
 
-    /// Waits until all its followers have been started.
+    /// Waits until all followers have started.
     pub fn wait_until_started(&mut self) -> Result<(), ScaleError> {
         match self.receive()? {
             HostResponse::Started => Ok(()),
@@ -42,17 +42,17 @@
         }
     }
 
-    /// The process.
+    /// The child process.
     pub fn process(&self) -> &OwnedChild {
         &self.child
     }
 
-    /// How many followers it runs.
+    /// Number of followers in the process.
     pub fn followers(&self) -> usize {
         self.followers
     }
 
-    /// Sends a request; [`FollowerHost::receive`] returns the answer.
+    /// Sends a request; [`FollowerHost::receive`] returns the response.
     pub fn send(&mut self, request: &HostRequest) -> Result<(), ScaleError> {
         let mut line = serde_json::to_vec(request).map_err(std::io::Error::other)?;
         line.push(b'\n');
@@ -60,23 +60,23 @@
         Ok(())
     }
 
-    /// Waits for the next answer.
+    /// Waits for the next response.
     pub fn receive(&mut self) -> Result<HostResponse, ScaleError> {
         let mut line = String::new();
         if self.output.read_line(&mut line)? == 0 {
-            return Err(ScaleError::Failed("a process of hollow followers ended; see its host.log".into()));
+            return Err(ScaleError::Failed("a process of headless followers ended; see its host.log".into()));
         }
         Ok(serde_json::from_str(&line).map_err(std::io::Error::other)?)
     }
 
-    /// Sends a request and waits for its answer.
+    /// Sends a request and waits for its response.
     pub fn ask(&mut self, request: &HostRequest) -> Result<HostResponse, ScaleError> {
         self.send(request)?;
         self.receive()
     }
 }
 
-/// The error for an answer to another question.
+/// The error for a response that doesn't match the request.
 pub fn unexpected(response: &HostResponse) -> ScaleError {
-    ScaleError::Failed(format!("an unexpected answer of a process of hollow followers: {response:?}"))
+    ScaleError::Failed(format!("unexpected response from a process of headless followers: {response:?}"))
 }
--- a/crates/rig/src/scale/feed/protocol.rs
+++ b/crates/rig/src/scale/feed/protocol.rs
@@ -1,57 +1,57 @@
-//! What the rig and a process of hollow followers say to each other: JSON, one message a line.
+//! Protocol between the rig and a process of headless followers: one JSON message per line.
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// What a process of hollow followers is started with.
+/// Configuration of a process of headless followers.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct HostConfig {
-    /// The deploy files of its followers.
+    /// Deploy files of the followers, one each.
     pub deploy_files: Vec<PathBuf>,
 }
 
-/// From the rig.
+/// A request from the rig.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HostRequest {
-    /// How does each follower stand?
+    /// Asks for the state of each follower.
     Status,
-    /// When did each follower hold all these functions with that memory?
+    /// Waits until each follower holds all these functions with the given memory, and asks when it did.
     WaitForFunctions {
         /// The names of the functions.
         functions: Vec<String>,
-        /// The memory that they are to have, in MB.
+        /// The memory that the functions must have, in MB.
         memory_mb: f64,
-        /// After so many milliseconds no more is waited for.
+        /// Longest wait, in milliseconds.
         limit_ms: f64,
     },
-    /// The memory of a function at each follower, in MB.
+    /// Asks for the memory of a function at each follower.
     MemoryOf {
         /// The name of the function.
         function: String,
     },
 }
 
-/// The answer to a [`HostRequest`], or the first word of the process.
+/// The response to a [`HostRequest`], or the message that the process sends after its start.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HostResponse {
-    /// All followers have been started; they may still be without a copy.
+    /// All followers have started; they may not have a copy yet.
     Started,
-    /// How each follower stands.
+    /// The state of each follower.
     Status(Vec<FollowerSummary>),
-    /// Unix times in milliseconds; nothing for a follower that did not come to hold them.
+    /// Unix time, in milliseconds, at which each follower held the functions; `None` if it didn't within the limit.
     HeldSince(Vec<Option<f64>>),
-    /// Memory in MB; nothing where the function is unknown.
+    /// Memory of the function at each follower, in MB; `None` where the function is unknown.
     Memory(Vec<Option<f64>>),
 }
 
-/// How a follower stands.
+/// State of a follower.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct FollowerSummary {
-    /// The address of the control node that it has to do with.
+    /// Address of its current control node.
     pub control: Option<SocketAddr>,
-    /// It is following.
+    /// Whether it follows the feed (its copy is complete).
     pub is_following: bool,
     /// Bytes of messages received since its start.
     pub received_bytes: u64,
--- a/crates/rig/src/scale/fit.rs
+++ b/crates/rig/src/scale/fit.rs
@@ -2,15 +2,15 @@
 use super::Measurement;
 use serde::Serialize;
 
-/// Fewest different sizes from which a slope is told.
-pub const FEWEST_SIZES: usize = 3;
+/// Minimum number of different sizes from which a slope is fitted.
+pub const MIN_SIZES: usize = 3;
 
-/// The line `intercept + slope * x` that is closest to some points.
+/// The least-squares line `intercept + slope * x` through a set of points.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Line {
     /// The value at 0.
     pub intercept: f64,
-    /// The growth for each unit of size.
+    /// The growth per unit of size.
     pub slope: f64,
     /// The root of the mean squared distance of the points from the line.
     pub residual: f64,
@@ -22,9 +22,9 @@
         self.intercept + self.slope * size
     }
 
-    /// The line that is closest to the points; `None` with fewer than [`FEWEST_SIZES`] different sizes.
+    /// Fits a line to the points; `None` with fewer than [`MIN_SIZES`] different sizes.
     pub fn fit(points: &[(f64, f64)]) -> Option<Line> {
-        if distinct_sizes(points) < FEWEST_SIZES {
+        if distinct_sizes(points) < MIN_SIZES {
             return None;
         }
         let count = points.len() as f64;
@@ -39,12 +39,12 @@
     }
 }
 
-/// The law `factor * x^exponent` that is closest to some points on logarithmic scales.
+/// The power law `factor * x^exponent`, fitted by least squares of logarithms.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PowerLaw {
     /// The value at size 1.
     pub factor: f64,
-    /// The power with which the value grows.
+    /// The exponent of the size.
     pub exponent: f64,
     /// The root of the mean squared distance of the logarithms; 0.1 means about 10 percent.
     pub residual: f64,
@@ -56,7 +56,7 @@
         self.factor * size.powf(self.exponent)
     }
 
-    /// The law that is closest to the points; `None` with fewer than [`FEWEST_SIZES`] different sizes, or
+    /// Fits a power law to the points; `None` with fewer than [`MIN_SIZES`] different sizes, or
     /// where a size or a value is not above 0.
     pub fn fit(points: &[(f64, f64)]) -> Option<PowerLaw> {
         if points.iter().any(|point| point.0 <= 0.0 || point.1 <= 0.0) {
@@ -75,13 +75,13 @@
     pub row: String,
     /// The unit of its figures.
     pub unit: String,
-    /// How many figures were fitted.
+    /// Number of figures fitted.
     pub points: usize,
     /// The value of the line at size 0.
     pub intercept: f64,
-    /// The growth for each unit of size.
+    /// The growth per unit of size.
     pub slope: f64,
-    /// The residual of the line, in the unit.
+    /// The residual of the line, in `unit`.
     pub line_residual: f64,
     /// The exponent of the power law, where one can be fitted.
     pub exponent: Option<f64>,
@@ -89,7 +89,7 @@
     pub power_residual: Option<f64>,
 }
 
-/// Fits every row that was measured at [`FEWEST_SIZES`] different sizes or more, in the order of the rows.
+/// Fits every row that was measured at [`MIN_SIZES`] different sizes or more, in the order of their first measurement.
 pub fn fit_rows(measurements: &[Measurement]) -> Vec<RowFit> {
     let mut rows: Vec<(&str, &str)> = Vec::new();
     for measurement in measurements {
--- a/crates/rig/src/scale/in_force.rs
+++ b/crates/rig/src/scale/in_force.rs
@@ -1,20 +1,21 @@
-//! The time until a change of the configuration is in force at many daemons.
+//! Measures the time until a configuration change is in force at several daemons.
 use super::deploy::function_body;
 use super::process::DaemonProcess;
 use super::ScaleError;
 use crate::client::Client;
 use std::time::{Duration, Instant};
 
-/// How often a daemon is asked; also how exact the times are.
-const POLL: Duration = Duration::from_millis(5);
-/// Longest time for which a change is waited for.
-pub const LONGEST_WAIT: Duration = Duration::from_secs(30);
-/// A call with this deadline is answered at once, served or not, unless its function is unknown.
+/// Interval at which a daemon is polled; also the precision of the times.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Longest wait for a change to be in force.
+pub const MAX_WAIT: Duration = Duration::from_secs(30);
+/// Deadline of 5 ms, in the daemon's header: a call to a known function is answered soon, served or not; an unknown
+/// function is answered with [`UNKNOWN_FUNCTION`].
 const DEADLINE: (&str, &str) = ("Corkbay-Deadline-Ms", "5");
 const UNKNOWN_FUNCTION: u16 = 404;
 
-/// Configures a new function at one daemon and returns how long after the request began each of the others
-/// takes calls for it.
+/// Configures a new function at one daemon; returns for each of the others the time from the start of that request
+/// until it accepts calls to the function.
 pub fn times_until_in_force(
     writer: &DaemonProcess,
     readers: &[&DaemonProcess],
@@ -39,16 +40,16 @@
 }
 
 fn wait_for(mut client: Client, function: &str, began: Instant) -> Result<Duration, ScaleError> {
-    while began.elapsed() < LONGEST_WAIT {
+    while began.elapsed() < MAX_WAIT {
         if takes_calls(&mut client, function)? {
             return Ok(began.elapsed());
         }
-        std::thread::sleep(POLL);
+        std::thread::sleep(POLL_INTERVAL);
     }
-    Err(ScaleError::Failed(format!("{function} was not in force after {LONGEST_WAIT:?}")))
+    Err(ScaleError::Failed(format!("{function} was not in force after {MAX_WAIT:?}")))
 }
 
-/// Whether a daemon knows a function by now.
+/// Whether a daemon accepts calls to a function, that is, knows it.
 pub fn takes_calls(client: &mut Client, function: &str) -> Result<bool, ScaleError> {
     let path = format!("/v1/functions/{function}/invocations");
     let response = client.ask("POST", &path, &[DEADLINE], b"{}")?;
@@ -59,12 +60,12 @@
     ScaleError::Failed("a thread that waited for a change panicked".into())
 }
 
-/// The median of times in seconds; 0 of none.
+/// The median of the times, in seconds; 0 if there are none.
 pub fn median_s(times: &[Duration]) -> f64 {
     crate::compare::median(times.iter().map(Duration::as_secs_f64).collect())
 }
 
-/// The longest of times in seconds; 0 of none.
+/// The longest of the times, in seconds; 0 if there are none.
 pub fn longest_s(times: &[Duration]) -> f64 {
     times.iter().map(Duration::as_secs_f64).fold(0.0, f64::max)
 }
--- a/crates/rig/src/scale/mesh.rs
+++ b/crates/rig/src/scale/mesh.rs
@@ -1,8 +1,8 @@
-//! What whole daemons that name one another as peers cost while nothing changes, and how fast a change is in
-//! force at all of them, over nodes and functions.
+//! The experiment `mesh`: idle cost of a mesh of replicating daemons, and the time until a change is in force at all of
+//! them, by the number of nodes and of functions.
 //!
-//! The first node's deploy file configures the functions; the others have them from it. Bytes are those of
-//! the loopback interface ([`traffic`](super::traffic)), so they hold headers and acknowledgements as well.
+//! The first node's deploy file configures the functions; the others get them by replication. Bytes are
+//! those of the loopback interface ([`traffic`](super::traffic)), so they include headers and acknowledgements.
 use super::deploy::{function_name, DeployFile};
 use super::in_force::{longest_s, median_s, takes_calls, times_until_in_force};
 use super::process::{free_ports, DaemonProcess};
@@ -14,11 +14,11 @@
 
 /// Longest time until all nodes have all functions.
 const SETTLE_LIMIT: Duration = Duration::from_secs(90);
-/// After the last function has come, swaps that began before have ended by then.
-const QUIET: Duration = Duration::from_secs(5);
-const POLL: Duration = Duration::from_millis(100);
+/// Time after the arrival of the last function by which replication exchanges that began earlier have ended.
+const SETTLE_TIME: Duration = Duration::from_secs(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What the experiment is told on the command line.
+/// Command-line options of the experiment.
 #[derive(Args, Clone, Debug)]
 pub struct Options {
     /// Numbers of nodes.
@@ -27,10 +27,10 @@
     /// Numbers of functions.
     #[arg(long, value_delimiter = ',', default_values_t = [250usize, 1000])]
     pub functions: Vec<usize>,
-    /// For how long idle daemons are watched, in seconds.
+    /// Time for which idle daemons are measured, in seconds.
     #[arg(long, default_value_t = 10.0)]
     pub idle_seconds: f64,
-    /// How many changes are timed at each size.
+    /// Number of changes timed at each size.
     #[arg(long, default_value_t = 5)]
     pub changes: usize,
     /// Memory of each daemon, in MB.
@@ -55,11 +55,11 @@
     Ok(measurements)
 }
 
-/// What was found at one size.
+/// Readings at one size.
 #[derive(Clone, Copy, Debug)]
 struct MeshCost {
     bytes_per_s: f64,
-    /// Processor time a second of the mean node.
+    /// Mean CPU time per second and node, in seconds.
     cpu_per_node: f64,
     resident_per_node: f64,
     median_in_force_s: f64,
@@ -67,7 +67,7 @@
 }
 
 impl MeshCost {
-    /// As measurements over nodes, and over functions for the fits in the other direction.
+    /// Converts the readings to measurements by nodes and, for a second fit, by functions.
     fn measurements(&self, nodes: usize, functions: usize) -> Vec<Measurement> {
         let figures = [
             ("idle bytes of all", self.bytes_per_s, "bytes/s"),
@@ -97,7 +97,7 @@
 ) -> Result<MeshCost, ScaleError> {
     let daemons = start(context, options, nodes, functions, folder)?;
     wait_until_all_have(&daemons, functions)?;
-    std::thread::sleep(QUIET);
+    std::thread::sleep(SETTLE_TIME);
     let (bytes, cpu) = (loopback_bytes()?, cpu_of(&daemons)?);
     let began = Instant::now();
     std::thread::sleep(Duration::from_secs_f64(options.idle_seconds));
@@ -145,7 +145,7 @@
     Ok(daemons)
 }
 
-/// Waits until every node takes calls for the first, the middle and the last function.
+/// Waits until every node accepts calls to the first, the middle and the last function.
 fn wait_until_all_have(daemons: &[DaemonProcess], functions: usize) -> Result<(), ScaleError> {
     let began = Instant::now();
     let samples = [0, functions / 2, functions.saturating_sub(1)];
@@ -154,9 +154,11 @@
         for number in samples {
             while !takes_calls(&mut client, &function_name(number))? {
                 if began.elapsed() > SETTLE_LIMIT {
-                    return Err(ScaleError::Failed("the nodes did not come to agree".into()));
+                    return Err(ScaleError::Failed(
+                        "some nodes did not receive all functions within the time limit".into(),
+                    ));
                 }
-                std::thread::sleep(POLL);
+                std::thread::sleep(POLL_INTERVAL);
             }
         }
     }
--- a/crates/rig/src/scale/mod.rs
+++ b/crates/rig/src/scale/mod.rs
@@ -1,4 +1,4 @@
-//! Scale experiments: each measures one cost at several sizes and fits how it grows.
+//! Scale experiments: each measures a cost at several sizes and fits its growth.
 //!
 //! Every experiment returns [`Measurement`]s. They are printed as a table, written as CSV and drawn as a
 //! chart, and every row that was measured at three sizes or more is fitted by a straight line and a power law.
@@ -29,7 +29,7 @@
 /// One measured figure of one row at one size.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Measurement {
-    /// What was measured; measurements of the same row are fitted together.
+    /// Name of the quantity; measurements with the same row are fitted together.
     pub row: String,
     /// The size at which it was measured, such as a number of nodes.
     pub size: f64,
@@ -46,7 +46,7 @@
     }
 }
 
-/// Why an experiment gave no measurements.
+/// Error of an experiment.
 #[derive(Debug, thiserror::Error)]
 pub enum ScaleError {
     /// A file, a socket or a process failed.
@@ -66,14 +66,14 @@
     NotAvailable(&'static str),
 }
 
-/// What all experiments are given.
+/// Context that all experiments get.
 #[derive(Clone, Debug)]
 pub struct ScaleContext {
-    /// The daemon's program.
+    /// Path of the daemon's executable.
     pub program: PathBuf,
-    /// Where tables, charts and the files of the daemons go.
+    /// Output folder for tables, charts and the files of the daemons.
     pub out: PathBuf,
-    /// The seed of everything that is drawn.
+    /// Seed of all random draws.
     pub seed: u64,
 }
 
@@ -82,13 +82,13 @@
 pub enum Experiment {
     /// Daemons that name one another as peers: idle cost, and the time until a change is in force.
     Mesh(mesh::Options),
-    /// A daemon's start and memory over the number of functions.
+    /// Start time and memory of a daemon by the number of functions.
     Catalog(catalog::Options),
     /// Many followers of the change feed: idle cost, changes, restarts, lost control nodes.
     Feed(feed::Options),
-    /// Followers that come back: bytes and time until they are current.
+    /// Restarted and paused followers: bytes and time until they are current.
     Recovery(recovery::Options),
-    /// The cost of a decision over workers and functions.
+    /// The cost of a decision by the number of workers and functions.
     Decisions(decisions::Options),
     /// The cost of the worker list and of changes to it.
     WorkerList(worker_list::Options),
--- a/crates/rig/src/scale/process.rs
+++ b/crates/rig/src/scale/process.rs
@@ -1,4 +1,4 @@
-//! Daemons as child processes that can be killed, suspended and started again on the same files.
+//! Daemons as child processes that can be killed, suspended and restarted on the same files.
 use super::ScaleError;
 use crate::client::{Client, Response};
 use rustix::process::{kill_process, Pid, Signal};
@@ -10,25 +10,26 @@
 use std::process::{Child, ChildStdout, Command, Stdio};
 use std::time::{Duration, Instant};
 
-const PATIENCE: Duration = Duration::from_secs(20);
-/// Ports below the range from which the kernel takes those of outgoing connections.
+/// Timeout of a request to the daemon's API.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(20);
+/// Ports are chosen below the kernel's ephemeral range, so that outgoing connections don't take them.
 const FIRST_PORT: u16 = 20_000;
 const LAST_PORT: u16 = 32_000;
-const NANOSECONDS: f64 = 1e9;
-const KIB: f64 = 1024.0;
-/// A standard stream that the command did not have piped, or that was taken before.
+const NANOSECONDS_PER_SECOND: f64 = 1e9;
+const BYTES_PER_KIB: f64 = 1024.0;
+/// Error kind for a standard stream that is not piped or was taken before.
 const NOT_PIPED: io::ErrorKind = io::ErrorKind::BrokenPipe;
 
-/// What a process has used and holds.
+/// CPU time and memory of a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Usage {
-    /// Processor time of all its threads since it started, in seconds.
+    /// CPU time of all threads since the start, in seconds.
     pub cpu_s: f64,
-    /// Resident memory in bytes.
+    /// Resident memory, in bytes.
     pub resident: f64,
 }
 
-/// A child process that is ended with this value.
+/// A child process that is killed when this value is dropped.
 #[derive(Debug)]
 pub struct OwnedChild {
     child: Child,
@@ -40,49 +41,49 @@
         Ok(OwnedChild { child: command.spawn()? })
     }
 
-    /// Its process id.
+    /// The process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Its standard output, where the command has it piped; once.
+    /// Takes the piped standard output; fails if it isn't piped or was taken before.
     pub fn stdout(&mut self) -> io::Result<BufReader<ChildStdout>> {
         self.child.stdout.take().map(BufReader::new).ok_or_else(|| NOT_PIPED.into())
     }
 
-    /// Its standard input, where the command has it piped; once.
+    /// Takes the piped standard input; fails if it isn't piped or was taken before.
     pub fn stdin(&mut self) -> io::Result<std::process::ChildStdin> {
         self.child.stdin.take().ok_or_else(|| NOT_PIPED.into())
     }
 
-    /// Ends it at once, as SIGKILL does, and waits for its end.
+    /// Sends SIGKILL and waits until the process has ended.
     pub fn kill(&mut self) -> io::Result<()> {
         self.child.kill()?;
         self.child.wait()?;
         Ok(())
     }
 
-    /// Ends it at once, as SIGKILL does, without waiting for its end.
+    /// Sends SIGKILL without waiting for the end of the process.
     pub fn send_kill(&self) -> io::Result<()> {
         self.signal(Signal::KILL)
     }
 
-    /// Stops it from running until [`OwnedChild::resume`]; its connections stay.
+    /// Suspends the process (SIGSTOP) until [`OwnedChild::resume`]; its connections stay open.
     pub fn suspend(&self) -> io::Result<()> {
         self.signal(Signal::STOP)
     }
 
-    /// Lets it run again.
+    /// Resumes a suspended process (SIGCONT).
     pub fn resume(&self) -> io::Result<()> {
         self.signal(Signal::CONT)
     }
 
-    /// Has a daemon log its counters and accounts.
+    /// Makes a daemon log its counters and memory accounts (SIGUSR1).
     pub fn log_counters(&self) -> io::Result<()> {
         self.signal(Signal::USR1)
     }
 
-    /// What it has used so far.
+    /// CPU time used so far and current resident memory.
     pub fn usage(&self) -> io::Result<Usage> {
         usage(self.id())
     }
@@ -95,22 +96,22 @@
 
 impl Drop for OwnedChild {
     fn drop(&mut self) {
-        // It may have ended by itself.
+        // The process may have ended already.
         let _ = self.kill();
     }
 }
 
-/// A daemon with a deploy file of its own in a folder.
+/// A running daemon with its own folder and deploy file.
 #[derive(Debug)]
 pub struct DaemonProcess {
     program: PathBuf,
     folder: PathBuf,
     child: OwnedChild,
-    /// Kept open, so that what the daemon prints later has somewhere to go.
+    /// Kept open, so that the daemon can still write to its standard output.
     _output: BufReader<ChildStdout>,
-    /// Where its invoke API listens.
+    /// Address of the invoke API.
     pub address: SocketAddr,
-    /// How long the start took, until the API listened.
+    /// Time from the start until the API listened.
     pub start_time: Duration,
 }
 
@@ -141,15 +142,15 @@
         self.child.kill()
     }
 
-    /// Starts the daemon again on the files that it left.
+    /// Kills the daemon if it is running and starts it again on its existing files.
     pub fn restart(&mut self) -> Result<(), ScaleError> {
-        // It may have been killed before.
+        // The process may have been killed already.
         let _ = self.child.kill();
         *self = Self::start_in(&self.program, &self.folder)?;
         Ok(())
     }
 
-    /// The process.
+    /// The child process.
     pub fn process(&self) -> &OwnedChild {
         &self.child
     }
@@ -159,12 +160,12 @@
         &self.folder
     }
 
-    /// A client of its API.
+    /// A new client of the daemon's API.
     pub fn client(&self) -> Client {
-        Client::new(self.address, PATIENCE)
+        Client::new(self.address, REQUEST_TIMEOUT)
     }
 
-    /// Asks once over a new connection, and fails unless the status is a success.
+    /// Sends one request over a new connection; fails if the status is 300 or above.
     pub fn request(&self, method: &str, path: &str, body: &[u8]) -> Result<Response, ScaleError> {
         let response = self.client().ask(method, path, &[], body)?;
         if response.status >= 300 {
@@ -181,16 +182,18 @@
         line.clear();
         if output.read_line(&mut line)? == 0 {
             let log = std::fs::read_to_string(folder.join("daemon.log")).unwrap_or_default();
-            let last = log.lines().last().unwrap_or("no word in its log").to_string();
+            let last = log.lines().last().unwrap_or("its log is empty").to_string();
             return Err(ScaleError::Failed(format!("the daemon did not start: {last}")));
         }
         if let Some(address) = line.trim().strip_prefix("invoke API on ") {
-            return address.parse().map_err(|_| ScaleError::Failed(format!("no address: {address}")));
+            return address.parse().map_err(|_| {
+                ScaleError::Failed(format!("the daemon printed an invalid API address: {address}"))
+            });
         }
     }
 }
 
-/// What a process has used and holds, as the kernel counts it.
+/// CPU time and resident memory of a process, as the kernel reports them.
 pub fn usage(process: u32) -> io::Result<Usage> {
     let mut nanoseconds = 0.0;
     for task in std::fs::read_dir(format!("/proc/{process}/task"))? {
@@ -202,10 +205,10 @@
     let status = std::fs::read_to_string(format!("/proc/{process}/status"))?;
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
     let kib = line.and_then(|rest| rest.trim().trim_end_matches(" kB").parse::<f64>().ok());
-    Ok(Usage { cpu_s: nanoseconds / NANOSECONDS, resident: kib.unwrap_or(0.0) * KIB })
+    Ok(Usage { cpu_s: nanoseconds / NANOSECONDS_PER_SECOND, resident: kib.unwrap_or(0.0) * BYTES_PER_KIB })
 }
 
-/// Loopback ports that nobody listens on.
+/// Returns `count` loopback ports on which nothing listens.
 pub fn free_ports(count: usize) -> Result<Vec<u16>, ScaleError> {
     let range = LAST_PORT - FIRST_PORT;
     let first = (std::process::id() * 97 % u32::from(range)) as u16;
@@ -220,13 +223,13 @@
         }
     }
     if ports.len() < count {
-        return Err(ScaleError::Failed("there are too few free ports".into()));
+        return Err(ScaleError::Failed("too few free loopback ports".into()));
     }
     Ok(ports)
 }
 
-/// Whether a loopback port can be listened at. It is bound without listening: a process that is just being started
-/// holds a copy of the descriptor until it runs its program, and a copy that listened would keep others away.
+/// Whether a loopback port is free. The socket is bound without listening: a child that is just being forked holds a
+/// copy of the descriptor until exec, and a listening copy would keep the port in use.
 fn is_free(port: u16) -> bool {
     let bind = || {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
--- a/crates/rig/src/scale/recovery.rs
+++ b/crates/rig/src/scale/recovery.rs
@@ -1,7 +1,8 @@
-//! What it takes until followers are current again: after a start on kept data, after a start from an empty disk, and
-//! after a pause.
+//! The experiment `recovery`: bytes, CPU and time until followers are current again after a start on stored data, a
+//! start with an empty disk, and a pause.
 //!
-//! A pause is a suspended process: its connections stay, and its control node gives it up after its silence limit.
+//! In a pause the process is suspended: its connections stay open, and its control node drops the follower after the
+//! silence limit.
 use super::feed::cluster::{configure, Cluster, ClusterMemory, ClusterOptions};
 use super::feed::OLD_MEMORY_MB;
 use super::process::Usage;
@@ -9,15 +10,15 @@
 use clap::Args;
 use std::time::{Duration, Instant};
 
-/// Changes that are made during each pause and before each start.
-const CHANGES: usize = 10;
-/// Between two steps, what follows from the first has ended by then.
-const QUIET: Duration = Duration::from_secs(2);
+/// Number of changes made during each pause and before each start.
+const CHANGES_PER_STEP: usize = 10;
+/// Time after a step by which the activity that it causes has ended.
+const SETTLE_TIME: Duration = Duration::from_secs(2);
 
-/// What the experiment is told on the command line.
+/// Command-line options of the experiment.
 #[derive(Args, Clone, Debug)]
 pub struct Options {
-    /// Hollow followers.
+    /// Number of headless followers.
     #[arg(long, default_value_t = 16)]
     pub followers: usize,
     /// Numbers of functions.
@@ -31,7 +32,7 @@
     pub memory: ClusterMemory,
 }
 
-/// Measures starts over functions, and pauses over their length.
+/// Measures starts by the number of functions, and pauses by their length.
 pub fn run(context: &ScaleContext, options: &Options) -> Result<Vec<Measurement>, ScaleError> {
     let most_functions = options.functions.iter().copied().max().unwrap_or(0);
     let mut measurements = Vec::new();
@@ -66,23 +67,23 @@
 ) -> Result<Vec<Measurement>, ScaleError> {
     let mut measurements = Vec::new();
     for (name, is_empty) in [("kept data", false), ("empty disk", true)] {
-        std::thread::sleep(QUIET);
-        cluster.kill_hollow_followers()?;
+        std::thread::sleep(SETTLE_TIME);
+        cluster.kill_headless_followers()?;
         if is_empty {
-            cluster.empty_hollow_disks()?;
+            cluster.clear_headless_disks()?;
         }
         let changed = changed_functions(&format!("{}-{functions}", name.replace(' ', "-")));
         configure(&cluster.controls[0], &changed, OLD_MEMORY_MB)?;
         let control_before: Usage = cluster.control_usage()?;
         let began = Instant::now();
-        cluster.start_hollow_followers()?;
+        cluster.start_headless_followers()?;
         cluster.wait_for(&changed, OLD_MEMORY_MB, began)?;
         cluster.wait_until_following()?;
         let took = began.elapsed();
         let control_after = cluster.control_usage()?;
         let followers = options.followers as f64;
-        let bytes = cluster.hollow_totals()?.bytes() / followers;
-        let cpu = cluster.hollow_usage()?.cpu_s / followers;
+        let bytes = cluster.headless_totals()?.bytes() / followers;
+        let cpu = cluster.headless_usage()?.cpu_s / followers;
         let control_cpu = (control_after.cpu_s - control_before.cpu_s) / followers;
         let mut add = |what: &str, value: f64, unit: &str| {
             let row = format!("start, {name}: {what}; over functions");
@@ -101,21 +102,21 @@
     options: &Options,
     pause_s: f64,
 ) -> Result<Vec<Measurement>, ScaleError> {
-    std::thread::sleep(QUIET);
+    std::thread::sleep(SETTLE_TIME);
     let changed = changed_functions(&format!("pause-{pause_s}").replace('.', "-"));
-    let bytes_before = cluster.hollow_totals()?.bytes();
+    let bytes_before = cluster.headless_totals()?.bytes();
     let copies_before = cluster.copies()?;
-    cluster.suspend_hollow_followers(true)?;
+    cluster.suspend_headless_followers(true)?;
     let paused = Instant::now();
     let end = configure(&cluster.controls[0], &changed, OLD_MEMORY_MB);
     std::thread::sleep(Duration::from_secs_f64(pause_s).saturating_sub(paused.elapsed()));
-    cluster.suspend_hollow_followers(false)?;
+    cluster.suspend_headless_followers(false)?;
     end?;
     let resumed = Instant::now();
     cluster.wait_for(&changed, OLD_MEMORY_MB, resumed)?;
     cluster.wait_until_following()?;
     let took = resumed.elapsed();
-    let bytes = (cluster.hollow_totals()?.bytes() - bytes_before) / options.followers as f64;
+    let bytes = (cluster.headless_totals()?.bytes() - bytes_before) / options.followers as f64;
     let copies = cluster.copies()?.copies - copies_before.copies;
     let measurement = |what: &str, value: f64, unit: &str| {
         Measurement::new(format!("pause: {what}; over seconds"), pause_s, value, unit)
@@ -128,5 +129,5 @@
 }
 
 fn changed_functions(prefix: &str) -> Vec<String> {
-    (0..CHANGES).map(|number| format!("{prefix}-{number}")).collect()
+    (0..CHANGES_PER_STEP).map(|number| format!("{prefix}-{number}")).collect()
 }
--- a/crates/rig/src/scale/usage.rs
+++ b/crates/rig/src/scale/usage.rs
@@ -1,16 +1,16 @@
-//! What the calling thread has used, and what this process and others hold.
+//! CPU time of the calling thread, resident memory of this process and open sockets of any process.
 use super::process::usage;
 use rustix::time::{clock_gettime, ClockId};
 use std::io;
 use std::time::Duration;
 
-/// CPU time of the calling thread.
+/// CPU time that the calling thread has used.
 pub fn thread_cpu() -> Duration {
     let time = clock_gettime(ClockId::ThreadCPUTime);
     Duration::new(time.tv_sec as u64, time.tv_nsec as u32)
 }
 
-/// What reading [`thread_cpu`] twice in a row tells at the least: the part of a short span that is the clock's.
+/// Smallest difference between two consecutive readings of [`thread_cpu`]: the overhead of the clock in a short span.
 pub fn clock_overhead() -> Duration {
     const READINGS: usize = 2000;
     let mut smallest = Duration::MAX;
@@ -26,7 +26,7 @@
     Ok(usage(std::process::id())?.resident)
 }
 
-/// Sockets that a process holds open.
+/// Number of sockets that a process has open.
 pub fn open_sockets(process: u32) -> io::Result<usize> {
     let mut count = 0;
     for descriptor in std::fs::read_dir(format!("/proc/{process}/fd"))? {
--- a/crates/rig/src/scale/worker_list.rs
+++ b/crates/rig/src/scale/worker_list.rs
@@ -1,5 +1,5 @@
-//! The experiment `worker-list`: bytes, CPU and memory of the list of workers, from the command channel and from
-//! the catalog, in the parts of the daemon that read it and without its sockets.
+//! The experiment `worker-list`: bytes, CPU and memory of the worker list, from the command channel and from the
+//! catalog. It runs the components of the daemon that read the list, without sockets.
 use super::usage::{own_resident, thread_cpu};
 use super::{Measurement, ScaleContext, ScaleError};
 use clap::Args;
@@ -19,37 +19,38 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Bytes that the daemon reads from the command channel at a time.
-const CHUNK: usize = 4096;
-/// Memory of an invoker in MB, as the plan has it, and of one whose caps don't matter.
-const PLANNED_MEMORY: usize = 256;
-const AMPLE_MEMORY: usize = 8192;
-/// What a daemon takes before it holds anything, in MB.
-const BASE_MEMORY: usize = 16;
-/// What is kept back for what no account sees, in percent.
-const RESERVE: f64 = 15.0;
+/// Size of the daemon's reads from the command channel, in bytes.
+const READ_CHUNK_BYTES: usize = 4096;
+/// Memory limit of an invoker, in MB, as planned for production.
+const PLANNED_MEMORY_MB: usize = 256;
+/// Memory limit, in MB, so large that no cap of an account is reached.
+const AMPLE_MEMORY_MB: usize = 8192;
+/// Memory that a daemon uses before it holds any data, in MB.
+const BASE_MEMORY_MB: usize = 16;
+/// Share of the memory reserved for allocations that no account covers, in percent.
+const RESERVE_PERCENT: f64 = 15.0;
 const FIRST_PORT: usize = 10_000;
-const PORTS: usize = 40_000;
-const MICROSECONDS: f64 = 1e6;
+const PORT_COUNT: usize = 40_000;
+const MICROSECONDS_PER_SECOND: f64 = 1e6;
 
-/// What the experiment is told on the command line.
+/// Command-line options of the experiment.
 #[derive(Args, Clone, Debug)]
 pub struct Options {
     /// Numbers of workers in the list.
     #[arg(long, value_delimiter = ',', default_values_t = [64, 256, 1024, 4096])]
     pub workers: Vec<usize>,
-    /// Zones.
+    /// Number of zones.
     #[arg(long, default_value_t = 10)]
     pub zones: usize,
-    /// Whole lists and changes that are read at each size.
+    /// Number of repetitions at each size; each reads a whole list and changes.
     #[arg(long, default_value_t = 5)]
     pub plays: usize,
-    /// Changes of one worker in a play.
+    /// Number of single-worker changes per repetition.
     #[arg(long, default_value_t = 40)]
     pub changes: usize,
 }
 
-/// Measures and returns the figures.
+/// Runs the experiment and returns its measurements.
 pub fn run(context: &ScaleContext, options: &Options) -> Result<Vec<Measurement>, ScaleError> {
     warm_up(options)?;
     let mut measurements = Vec::new();
@@ -67,24 +68,24 @@
     Ok(measurements)
 }
 
-/// Starts the coroutine library, so that the first size does not count that.
+/// Starts the coroutine library, so that its start is not counted at the first size.
 fn warm_up(options: &Options) -> Result<(), ScaleError> {
-    let invoker = invoker(options, &ledger(AMPLE_MEMORY)?);
+    let invoker = invoker(options, &ledger(AMPLE_MEMORY_MB)?);
     read_event(&event(1, true, &[0], options), &invoker)?;
     Ok(())
 }
 
-type Add<'a> = dyn FnMut(&str, f64, &str) + 'a;
+type AddMeasurement<'a> = dyn FnMut(&str, f64, &str) + 'a;
 
-/// Whole lists and single changes from the command channel: reading the stream, the JSON text, and telling the
-/// invoker.
+/// Measures whole lists and single changes from the command channel: reading the stream, parsing the JSON text, and
+/// applying the result to the invoker.
 fn measure_channel(
     workers: usize,
     options: &Options,
     rng: &mut ChaCha8Rng,
-    add: &mut Add,
+    add: &mut AddMeasurement,
 ) -> Result<(), ScaleError> {
-    let ledger = ledger(AMPLE_MEMORY)?;
+    let ledger = ledger(AMPLE_MEMORY_MB)?;
     let resident_before = own_resident()?;
     let invoker = invoker(options, &ledger);
     let all: Vec<usize> = (0..workers).collect();
@@ -103,7 +104,7 @@
     add("channel: CPU of a list that is known", median(Reading::all, &lists), "us");
     add("channel: CPU of its stream", median(|reading| reading.stream, &lists), "us");
     add("channel: CPU of its JSON", median(|reading| reading.json, &lists), "us");
-    add("channel: CPU of telling it", median(|reading| reading.tell, &lists), "us");
+    add("channel: CPU of telling it", median(|reading| reading.apply, &lists), "us");
     let mut changes = Vec::new();
     let mut bytes = 0;
     for _ in 0..options.plays * options.changes {
@@ -116,27 +117,27 @@
     Ok(())
 }
 
-/// The directory alone: whole lists of workers that are known, and changes of one.
-fn measure_directory(workers: usize, options: &Options, add: &mut Add) {
+/// Measures the directory alone: whole lists of known workers, and changes of one worker.
+fn measure_directory(workers: usize, options: &Options, add: &mut AddMeasurement) {
     let account = corkbay_ledger::Account::root("scale", usize::MAX >> 8);
     let names = Names { zones: zone_names(options), ..Names::default() };
     let mut directory = Directory::new(&names, &account);
     let listings = || (0..workers).map(|number| listing(number, options)).collect::<Vec<_>>();
     directory.apply(listings(), true, false);
     let (mut lists, mut changes) = (Vec::new(), Vec::new());
-    for play in 0..options.plays {
+    for repetition in 0..options.plays {
         let known = listings();
         lists.push(cpu_of(|| _ = directory.apply(known, true, false)));
-        let change = vec![listing(play % workers, options)];
+        let change = vec![listing(repetition % workers, options)];
         changes.push(cpu_of(|| _ = directory.apply(change, false, false)));
     }
     add("directory: CPU of a list that is known", median(lists), "us");
     add("directory: CPU of a change of one worker", median(changes), "us");
 }
 
-/// The store's workers.
-fn measure_catalog(workers: usize, options: &Options, add: &mut Add) -> Result<(), ScaleError> {
-    let ledger = ledger(AMPLE_MEMORY)?;
+/// Measures workers that are stored in the catalog.
+fn measure_catalog(workers: usize, options: &Options, add: &mut AddMeasurement) -> Result<(), ScaleError> {
+    let ledger = ledger(AMPLE_MEMORY_MB)?;
     let store = Arc::new(Store::in_memory("scale", ledger.clone()));
     let catalog = Catalog::new(store, vec![]);
     for number in 0..workers {
@@ -147,9 +148,9 @@
     add("catalog: memory told of the records", ledger.account(Purpose::Catalog).used() as f64, "bytes");
     add("catalog: bytes of GET /v1/workers", catalog.listed_workers().into_text().len() as f64, "bytes");
     let (mut announced, mut listed) = (Vec::new(), Vec::new());
-    for play in 0..options.plays {
-        let number = play % workers.max(1);
-        let changed = Worker { weight: 2.0 + play as f64, ..worker(number, options) };
+    for repetition in 0..options.plays {
+        let number = repetition % workers.max(1);
+        let changed = Worker { weight: 2.0 + repetition as f64, ..worker(number, options) };
         catalog.put_worker(&worker_name(number), &changed).map_err(failed)?;
         announced.push(cpu_of(|| catalog.announce_worker(&invoker, &worker_name(number))));
         listed.push(cpu_of(|| _ = catalog.listed_workers().into_text()));
@@ -159,9 +160,9 @@
     Ok(())
 }
 
-/// How many workers of a list fit the memory that an invoker has by the plan.
-fn measure_room(workers: usize, options: &Options, add: &mut Add) {
-    let Ok(ledger) = ledger(PLANNED_MEMORY) else { return };
+/// Measures how many workers of a list fit into the planned memory of an invoker.
+fn measure_room(workers: usize, options: &Options, add: &mut AddMeasurement) {
+    let Ok(ledger) = ledger(PLANNED_MEMORY_MB) else { return };
     let invoker = invoker(options, &ledger);
     invoker.news((0..workers).map(|number| listing(number, options)).collect(), true, false);
     let known = (0..workers).filter(|number| invoker.may_resume(&worker_name(*number)).is_ok()).count();
@@ -174,37 +175,39 @@
     account.used() as f64 / account.cap().max(1) as f64
 }
 
-/// CPU time of the steps in which an event is read.
+/// CPU time of each step of reading an event.
 struct Reading {
     stream: Duration,
     json: Duration,
-    tell: Duration,
+    apply: Duration,
 }
 
 impl Reading {
     fn all(&self) -> Duration {
-        self.stream + self.json + self.tell
+        self.stream + self.json + self.apply
     }
 }
 
-/// Reads one event as the daemon does: chunk by chunk from the stream, then its text, then into the invoker.
+/// Reads one event as the daemon does: decodes the stream chunk by chunk, parses the JSON and applies it to the
+/// invoker.
 fn read_event(bytes: &[u8], invoker: &Arc<Invoker>) -> Result<Reading, ScaleError> {
     let mut stream = Stream::default();
     let mut events = Vec::new();
     let began = thread_cpu();
-    for chunk in bytes.chunks(CHUNK) {
+    for chunk in bytes.chunks(READ_CHUNK_BYTES) {
         events.extend(stream.feed(chunk).map_err(failed)?);
     }
     let streamed = thread_cpu();
-    let event = events.first().ok_or_else(|| ScaleError::Failed("the event did not come out".into()))?;
+    let event =
+        events.first().ok_or_else(|| ScaleError::Failed("the stream decoder returned no event".into()))?;
     let news: News = serde_json::from_str(&event.data).map_err(failed)?;
     let parsed = thread_cpu();
     news.remember(invoker);
-    let told = thread_cpu();
-    Ok(Reading { stream: streamed - began, json: parsed - streamed, tell: told - parsed })
+    let applied = thread_cpu();
+    Ok(Reading { stream: streamed - began, json: parsed - streamed, apply: applied - parsed })
 }
 
-/// One event of the command channel about some workers, with the head of the response that carries it.
+/// One event of the command channel that lists some workers, preceded by the head of the HTTP response.
 fn event(cursor: u64, snapshot: bool, workers: &[usize], options: &Options) -> Vec<u8> {
     let endpoints: Vec<_> = workers.iter().map(|number| endpoint(*number, options)).collect();
     let data = json!({ "cursor": cursor, "nodes": { "snapshot": snapshot, "endpoints": endpoints } });
@@ -260,14 +263,15 @@
     (number % options.zones.max(1)) as i64
 }
 
-/// An address that nobody is called at.
+/// Address of a worker; no connection is made to it.
 fn address(number: usize) -> SocketAddr {
-    SocketAddr::from(([127, 0, 0, 1], (FIRST_PORT + number % PORTS) as u16))
+    SocketAddr::from(([127, 0, 0, 1], (FIRST_PORT + number % PORT_COUNT) as u16))
 }
 
 fn ledger(memory_mb: usize) -> Result<Arc<Ledger>, ScaleError> {
     let keys = ("memory_mb", "memory.shares");
-    let budget = Budget::plan(memory_mb * MIB, BASE_MEMORY * MIB, RESERVE, &Shares::daemon(), keys);
+    let budget =
+        Budget::plan(memory_mb * MIB, BASE_MEMORY_MB * MIB, RESERVE_PERCENT, &Shares::daemon(), keys);
     Ok(Arc::new(Ledger::new(&budget.map_err(failed)?, &[])))
 }
 
@@ -287,7 +291,7 @@
 }
 
 fn microseconds(span: Duration) -> f64 {
-    span.as_secs_f64() * MICROSECONDS
+    span.as_secs_f64() * MICROSECONDS_PER_SECOND
 }
 
 fn median(mut spans: Vec<Duration>) -> f64 {
@@ -299,10 +303,10 @@
     ScaleError::Failed(error.to_string())
 }
 
-/// Workers that nothing is sent to: no call is made here.
+/// Worker transport that fails every operation; the experiment makes no calls.
 struct NoWorkers;
 
-/// An attempt that went nowhere.
+/// Exchange of an attempt that was never sent.
 struct NoExchange(corkbay_node::core::CancelNotice);
 
 impl Exchange for NoExchange {
--- a/crates/rig/tests/scale.rs
+++ b/crates/rig/tests/scale.rs
@@ -1,4 +1,4 @@
-//! Scale experiments at small sizes: the fits against known laws, and the experiments against real daemons.
+//! Scale experiments at small sizes: fits of points with known parameters, and experiments with real daemons.
 use corkbay_rig::scale::fit::{fit_rows, Line, PowerLaw};
 use corkbay_rig::scale::Measurement;
 use std::collections::BTreeMap;
@@ -6,7 +6,7 @@
 use std::process::Command;
 
 #[test]
-fn fits_recover_a_line_and_a_power_law_and_tell_the_residual() {
+fn fits_recover_a_line_and_a_power_law_and_report_the_residual() {
     let line: Vec<(f64, f64)> = [1.0, 4.0, 16.0].map(|x| (x, 5.0 + 3.0 * x)).to_vec();
     let fit = Line::fit(&line).expect("three sizes");
     assert!((fit.intercept - 5.0).abs() < 1e-9 && (fit.slope - 3.0).abs() < 1e-9, "{fit:?}");
@@ -15,15 +15,15 @@
     let law = PowerLaw::fit(&square).expect("four sizes");
     assert!((law.exponent - 2.0).abs() < 1e-9 && (law.factor - 0.5).abs() < 1e-9, "{law:?}");
     assert!(law.residual < 1e-9 && (law.at(32.0) - 512.0).abs() < 1e-6);
-    // Points off by 1 to both sides of a flat line have a residual of 1.
+    // Points at a distance of 1 above and below a flat line have a residual of 1.
     let flat = [(1.0, 9.0), (2.0, 11.0), (3.0, 11.0), (4.0, 9.0)];
     let fit = Line::fit(&flat).expect("four sizes");
     assert!(fit.slope.abs() < 1e-9 && (fit.residual - 1.0).abs() < 1e-9, "{fit:?}");
 }
 
-/// Guards against slopes that are told from too few sizes.
+/// Guards against slopes fitted from too few sizes.
 #[test]
-fn no_slope_is_told_from_fewer_than_three_sizes() {
+fn no_slope_is_fitted_from_fewer_than_three_sizes() {
     assert!(Line::fit(&[(1.0, 1.0), (1.0, 2.0), (2.0, 3.0), (2.0, 4.0)]).is_none());
     assert!(PowerLaw::fit(&[(1.0, 1.0), (2.0, 0.0), (3.0, 3.0)]).is_none(), "0 has no logarithm");
     let two = [1.0, 2.0].map(|size| Measurement::new("two", size, size, "bytes"));
@@ -33,26 +33,26 @@
     assert!(fits[0].row == "three" && fits[0].points == 3 && (fits[0].slope - 7.0).abs() < 1e-9);
 }
 
-/// The folder of the built programs, which `cargo test --workspace` builds beside these tests.
+/// The folder of the executables that `cargo test --workspace` builds, the parent of the folder of this test.
 fn programs() -> PathBuf {
     let tests = std::env::current_exe().expect("this test");
     tests.ancestors().nth(2).expect("a target folder").to_path_buf()
 }
 
-/// Runs an experiment of the rig and reads back its table: the figure of each row and size.
+/// Runs an experiment of the rig and reads its CSV file: the figure of each row and size.
 fn experiment(name: &str, options: &[&str]) -> BTreeMap<(String, u64), f64> {
     let folder = std::env::temp_dir().join(format!("corkbay-scale-{name}-{}", std::process::id()));
     let mut command = Command::new(env!("CARGO_BIN_EXE_corkbay-rig"));
     command.arg("--program").arg(programs().join("corkbay")).arg("--out").arg(&folder);
     let output = command.args(["scale", name]).args(options).output().expect("runs");
-    let told = String::from_utf8_lossy(&output.stderr);
-    assert!(output.status.success(), "{told}");
+    let stderr = String::from_utf8_lossy(&output.stderr);
+    assert!(output.status.success(), "{stderr}");
     let mut rows = csv::Reader::from_path(folder.join(format!("scale-{name}.csv"))).expect("a table");
     let found = rows.deserialize::<(String, f64, f64, String)>().map(|row| row.expect("a measurement"));
     let found = found.map(|(row, size, value, _)| ((row, size as u64), value)).collect();
     assert!(folder.join(format!("scale-{name}.svg")).exists());
     let _ = std::fs::remove_dir_all(folder);
-    println!("{told}");
+    println!("{stderr}");
     found
 }
 
@@ -65,7 +65,7 @@
     let options = ["--nodes", "2,3", "--functions", "20", "--idle-seconds", "1", "--changes", "1"];
     let found = experiment("mesh", &options);
     for nodes in [2, 3] {
-        // Idle peers swap something at each interval, and every one keeps its memory.
+        // Idle peers exchange digests at each interval, so CPU use is not 0; each node has resident memory.
         assert!(figure(&found, "idle cpu a node; 20 functions, over nodes", nodes) > 0.0);
         assert!(figure(&found, "resident a node; 20 functions, over nodes", nodes) > 1.0);
         assert!(figure(&found, "change in force at all, max; 20 functions, over nodes", nodes) > 0.0);
@@ -80,8 +80,8 @@
     assert!(figure(&found, "start on kept data: log on disk", 40) > 0.0);
 }
 
-/// Guards the promises of the feed at a small size: a lost control node delays no change past 6 s, a stale one takes
-/// nothing back, and followers that kept their data have no copy sent.
+/// Checks the guarantees of the feed at a small size: a change is in force within 6 s although a control node is lost,
+/// a stale control node undoes no change, and followers with stored data get no full copy.
 #[test]
 fn feed_changes_outlive_lost_and_stale_control_nodes() {
     let options = ["--followers", "3", "--functions", "30", "--idle-seconds", "4", "--changes", "2"];
@@ -89,7 +89,7 @@
     let found = experiment("feed", &[options.as_slice(), plays.as_slice()].concat());
     let of = |name: &str| figure(&found, &format!("{name}; 30 functions, over followers"), 3);
     assert_eq!(of("one change in force at all, plays"), 2.0);
-    // A pair of heartbeat and answer takes at most 200 bytes and comes each 1.5 s: two to four of them in 4 s.
+    // A heartbeat and its answer take at most 200 bytes together and are sent every 1.5 s: two to four pairs in 4 s.
     let idle = of("idle message bytes a hollow follower");
     assert!(idle > 0.0 && idle * 4.0 <= 4.0 * 200.0, "{idle}");
     assert_eq!(of("all restarted: full copies"), 0.0);
--- a/crates/rig/tests/slopes.rs
+++ b/crates/rig/tests/slopes.rs
@@ -1,4 +1,4 @@
-//! The scale experiments at small sizes: what they measure is there, plausible, and fitted as it should be.
+//! The scale experiments at small sizes: the measurements exist, are plausible, and are fitted correctly.
 use clap::Parser;
 use corkbay_rig::scale::fit::{fit_rows, Line};
 use corkbay_rig::scale::relay::Relay;
@@ -9,19 +9,19 @@
 
 /// Options of an experiment as the command line gives them.
 #[derive(Parser)]
-struct Told<O: clap::Args> {
+struct CommandLine<O: clap::Args> {
     #[command(flatten)]
     options: O,
 }
 
 fn options<O: clap::Args>(words: &[&str]) -> O {
     let words = ["slopes"].iter().chain(words);
-    Told::<O>::try_parse_from(words).expect("options").options
+    CommandLine::<O>::try_parse_from(words).expect("options").options
 }
 
 fn context(name: &str) -> ScaleContext {
     let out = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("slopes-{name}"));
-    // The daemon's program lies beside the folder of this test.
+    // The daemon's executable is in the parent of this test's folder.
     let test = std::env::current_exe().expect("the test's own path");
     let program = test.ancestors().nth(2).expect("a target folder").join("corkbay");
     ScaleContext { program, out, seed: 3 }
@@ -57,7 +57,8 @@
         let cpu = values(&found, &format!("{axis}: CPU a call"));
         assert!(cpu.iter().all(|cpu| *cpu > 0.0), "{axis}: {cpu:?}");
     }
-    // The homes of a model are ranked once in a step at the most: never more often than events come.
+    // The home workers of a model are ranked at most once per ranking interval, so there are fewer ranking events than
+    // events.
     assert!(values(&found, "workers: ranking events a call").iter().all(|part| *part > 0.0 && *part < 3.0));
     assert_eq!(values(&found, "functions: models known"), [8.0, 16.0, 32.0]);
     let lines = values(&found, "copies: lines known");
@@ -129,13 +130,14 @@
     assert_eq!(values(&found, "one node, calls a second: calls taken"), [20.0, 40.0, 80.0]);
     assert_eq!(values(&found, "one node, calls a second: calls not taken"), [0.0; 3]);
     let log = values(&found, "one node, calls a second: log a call");
-    // An open and a final record of each, with the body of the answer in the latter.
+    // Each call writes an open and a final record; the final one includes the body of the answer.
     assert!(log.iter().all(|bytes| (400.0..2000.0).contains(bytes)), "{log:?}");
     let held = |row: &str| values(&found, &format!("{row}, one node, at one rate: log a call"));
     assert_eq!([held("held"), held("held, keyed")], [[0.0], [0.0]]);
     let keys = |row: &str| values(&found, &format!("{row}, one node, at one rate: keys account a call"))[0];
     assert!(keys("held") == 0.0 && keys("deferred") == 0.0 && keys("deferred, keyed") > 100.0);
-    // What the other node keeps has come over the wire; a push that fails is made up for by a later swap only.
+    // The records that the other node stores were sent to it. A failed push is repaired only by a later digest
+    // exchange, which would not be counted.
     let sent = values(&found, "2 nodes, calls a second: bytes sent a call and copy")[0];
     let kept = values(&found, "2 nodes, calls a second: copy: log a call")[0];
     assert!(kept > 0.0 && sent > 0.8 * kept && sent < 3.0 * kept, "{sent} sent, {kept} kept");
@@ -161,16 +163,17 @@
     assert_eq!((text.as_str(), relay.bytes(), relay.connections()), ("and back", 13, 1));
 }
 
-/// The fit that is told of a row is the least-squares line of its points, whose rests cancel out.
+/// Checks that the fit of a row is the least-squares line of its points: the residuals, plain and weighted by size, sum
+/// up to 0.
 fn assert_fit(measurements: &[Measurement], row: &str) {
     let points = points(measurements, row);
     let line = Line::fit(&points).expect("three sizes");
-    let told = fit_rows(measurements).into_iter().find(|fit| fit.row == row).expect("a fit of the row");
+    let fit = fit_rows(measurements).into_iter().find(|fit| fit.row == row).expect("a fit of the row");
     let tolerance = 1e-6 * points.iter().map(|point| point.1.abs()).fold(1.0, f64::max);
-    assert!((told.slope - line.slope).abs() < tolerance && told.points == points.len(), "{told:?}");
-    let rest = |point: &(f64, f64)| point.1 - told.intercept - told.slope * point.0;
-    let sum: f64 = points.iter().map(rest).sum();
-    let weighted: f64 = points.iter().map(|point| rest(point) * point.0).sum();
+    assert!((fit.slope - line.slope).abs() < tolerance && fit.points == points.len(), "{fit:?}");
+    let residual = |point: &(f64, f64)| point.1 - fit.intercept - fit.slope * point.0;
+    let sum: f64 = points.iter().map(residual).sum();
+    let weighted: f64 = points.iter().map(|point| residual(point) * point.0).sum();
     let largest = points.iter().map(|point| point.0).fold(1.0, f64::max);
     assert!(
         sum.abs() < 3.0 * tolerance && weighted.abs() < 3.0 * tolerance * largest,
