--- a/crates/rig/src/grow/bounds.rs
+++ b/crates/rig/src/grow/bounds.rs
@@ -4,7 +4,7 @@
 
 const MIB: f64 = (1 << 20) as f64;
 const KIB: f64 = 1024.0;
-const WORKERS_PER_THOUSAND: f64 = 1000.0;
+const THOUSAND: f64 = 1000.0;
 
 /// A measured figure at one fleet size, with the upper or lower bound that applies to it.
 #[derive(Clone, Debug, PartialEq, Serialize)]
@@ -36,7 +36,7 @@
 
 impl Growth {
     fn bound(&self, before: f64, workers: usize) -> f64 {
-        self.times * before + self.plus + self.per_thousand * workers as f64 / WORKERS_PER_THOUSAND
+        self.times * before + self.plus + self.per_thousand * workers as f64 / THOUSAND
     }
 }
 
