--- a/crates/rig/src/scale/feed.rs
+++ b/crates/rig/src/scale/feed.rs
@@ -170,7 +170,7 @@
     let followers = rows.followers as f64;
     let whole = cluster::WHOLE_FOLLOWERS as f64;
     let controls = cluster::CONTROLS as f64;
-    let headless_bytes = (after.hollow.bytes() - before.hollow.bytes()) / span / followers;
+    let headless_bytes = (after.headless.bytes() - before.headless.bytes()) / span / followers;
     let whole_bytes = (after.whole.bytes() - before.whole.bytes()) / span / whole;
     let control_bytes = (after.controls.bytes() - before.controls.bytes()) / span / controls;
     let headless_cpu = (after.headless_usage.cpu_s - before.headless_usage.cpu_s) / span / followers;
@@ -199,7 +199,7 @@
 
 /// Counters of the whole cluster at one instant.
 struct IdleState {
-    hollow: FeedTotals,
+    headless: FeedTotals,
     whole: FeedTotals,
     controls: FeedTotals,
     headless_usage: Usage,
@@ -213,7 +213,7 @@
 impl IdleState {
     fn of(cluster: &mut Cluster) -> Result<Self, ScaleError> {
         Ok(IdleState {
-            hollow: cluster.headless_totals()?,
+            headless: cluster.headless_totals()?,
             whole: cluster.whole_totals()?,
             controls: cluster.control_totals()?,
             headless_usage: cluster.headless_usage()?,
--- a/crates/rig/tests/slopes.rs
+++ b/crates/rig/tests/slopes.rs
@@ -77,8 +77,11 @@
         "catalog: bytes of GET /v1/workers",
         "catalog: memory told of the records",
     ] {
-        let told = values(&found, row);
-        assert!(told[0] > 0.0 && told.windows(2).all(|pair| pair[1] > 3.0 * pair[0]), "{row}: {told:?}");
+        let figures = values(&found, row);
+        assert!(
+            figures[0] > 0.0 && figures.windows(2).all(|pair| pair[1] > 3.0 * pair[0]),
+            "{row}: {figures:?}"
+        );
         assert_fit(&found, row);
     }
     let change = values(&found, "channel: bytes of a change of one worker");
