--- a/crates/node/src/core/invoker.rs
+++ b/crates/node/src/core/invoker.rs
@@ -215,11 +215,11 @@
     /// as no open request needs it.
     pub fn measure(&self) {
         let core = &mut *lock(&self.core);
-        let excess = core.dispatcher.remembered().bytes.saturating_sub(core.learnt.account().cap());
+        let excess = core.dispatcher.table_sizes().bytes.saturating_sub(core.learnt.account().cap());
         if excess > 0 {
-            core.dispatcher.forget(excess);
+            core.dispatcher.evict_state(excess);
         }
-        core.learnt.owe(core.dispatcher.remembered().bytes);
+        core.learnt.owe(core.dispatcher.table_sizes().bytes);
     }
 
     /// Withdraws a request: its client no longer waits.
@@ -246,7 +246,7 @@
     pub fn adopt(self: &Arc<Self>, bans: Bans) {
         let _ordered = lock(&self.roster_updates);
         let roster = lock(&self.directory).adopt(bans);
-        if !matches!(&roster, corkbay::Roster::Changes(entries) if entries.is_empty()) {
+        if !matches!(&roster, corkbay::RosterUpdate::Changes(entries) if entries.is_empty()) {
             self.feed(Event::Roster(roster));
         }
     }
@@ -341,7 +341,7 @@
     /// Reserves memory for a model that is to be called. If there is none left, the dispatcher forgets models:
     /// those that were never loaded first, then the least recently used.
     fn reserve_model(&mut self, model: ModelId) -> Result<(), Full> {
-        let asked = self.dispatcher.adds(model);
+        let asked = self.dispatcher.model_cost_bytes(model);
         let grown_bytes = |core: &DispatcherState| core.learnt.bytes() + asked;
         let Err(full) = self.learnt.resize(grown_bytes(self)) else { return Ok(()) };
         let (purpose, cap, idle) = (Purpose::Learnt, full.cap, self.learnt.bytes());
@@ -349,8 +349,8 @@
         if let Decision::Evict { bytes } = decide(&case) {
             // Forgets a larger part at a time, so that not every new model has to search for something to
             // forget.
-            self.dispatcher.forget(bytes.max(cap / FORGET_DIVISOR));
-            self.learnt.shrink_to(self.dispatcher.remembered().bytes);
+            self.dispatcher.evict_state(bytes.max(cap / FORGET_DIVISOR));
+            self.learnt.shrink_to(self.dispatcher.table_sizes().bytes);
         }
         self.learnt.resize(grown_bytes(self))
     }
--- a/crates/node/src/core/invoker/request.rs
+++ b/crates/node/src/core/invoker/request.rs
@@ -169,8 +169,8 @@
             closed,
             outcome,
             took: monotonic_ms() - started,
-            warmth: Warmth::Untold,
-            crowd: None,
+            warmth: Warmth::Unknown,
+            concurrent_calls: None,
             report: None,
         }));
     }
--- a/crates/node/src/core/invoker/tests.rs
+++ b/crates/node/src/core/invoker/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::core::{Answer, AttemptError, CancelNotice, Cause, Ending, Exchange, UnixTime};
 use crate::memory::roster::Host;
-use corkbay::{ModelId, Request, Standing};
+use corkbay::{ModelId, Request, WorkerState};
 use std::sync::atomic::AtomicUsize;
 
 struct EndedExchange;
@@ -85,9 +85,9 @@
     let invoker = Invoker::new(&setup, 1, Arc::new(workers), ledger.clone());
     let address = "127.0.0.1:1".parse().expect("address");
     let (name, zone, kind) = ("w".to_string(), "a".to_string(), String::new());
-    let (standing, since) = (Standing::Ready, UnixTime::NONE);
+    let (state, since) = (WorkerState::Ready, UnixTime::NONE);
     let heard_without = Ms::NEG_INFINITY;
-    let listing = Listing { name, address, zone, kind, cell: 0, standing, weight: 1.0, since, heard_without };
+    let listing = Listing { name, address, zone, kind, cell: 0, state, weight: 1.0, since, heard_without };
     invoker.news(vec![listing], true, true);
     (invoker, ledger)
 }
--- a/crates/node/src/life/accounts.rs
+++ b/crates/node/src/life/accounts.rs
@@ -5,7 +5,7 @@
 use crate::memory::resident::resident_bytes;
 use crate::memory::roster;
 use crate::timers;
-use corkbay::{Settings, Tables};
+use corkbay::{Settings, TableSizes};
 use corkbay_ledger::{Alarm, Budget, BudgetError, Purpose, Shares, TenantShare, MIB};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -50,7 +50,7 @@
         let shares = Shares::platform();
         let with_spare = |bytes: usize| self.workers * bytes / WORKERS_PER_SPARE * (WORKERS_PER_SPARE + 1);
         let model_bytes = (room_bytes as f64 * shares.percent(Purpose::Learnt) / 100.0) as usize;
-        let learnt_bytes = model_bytes + with_spare(Tables::worker_cost(self.classes));
+        let learnt_bytes = model_bytes + with_spare(TableSizes::worker_cost(self.classes));
         let roster_bytes = with_spare(roster::usual_cost());
         let usual_bytes = (room_bytes as f64 * shares.percent(Purpose::Roster) / 100.0) as usize;
         if roster_bytes <= usual_bytes {
--- a/crates/node/src/life/accounts/tests.rs
+++ b/crates/node/src/life/accounts/tests.rs
@@ -34,7 +34,7 @@
         let caps = platform_budget(memory_mb, 6 * MIB, 1, fleet).expect("fits");
         let usual = platform_budget(memory_mb, 6 * MIB, 1, FleetSize::default()).expect("fits");
         assert!(caps.cap(Purpose::Roster) >= workers * roster::usual_cost(), "{memory_mb} MB, {workers}");
-        let worker_bytes = workers * Tables::worker_cost(CLASSES);
+        let worker_bytes = workers * TableSizes::worker_cost(CLASSES);
         let model_bytes = caps.cap(Purpose::Learnt).saturating_sub(worker_bytes);
         assert!(model_bytes >= usual.cap(Purpose::Learnt) / 2, "{memory_mb} MB, {workers}: {model_bytes}");
         assert!(caps.room() <= usual.room() + Purpose::COUNT, "{memory_mb} MB, {workers}");
--- a/crates/node/src/life/deploy/tests.rs
+++ b/crates/node/src/life/deploy/tests.rs
@@ -34,5 +34,5 @@
     assert_eq!(settings.max_attempts, 5);
     assert_eq!(settings.classes[0].aim, 100.0);
     assert_eq!(settings.classes[0].effect, corkbay::Effect::Repeatable);
-    assert_eq!(settings.lacking, corkbay::Lacking::Loads);
+    assert_eq!(settings.on_missing_model, corkbay::MissingModelBehavior::Loads);
 }
--- a/crates/node/src/memory/catalog.rs
+++ b/crates/node/src/memory/catalog.rs
@@ -6,7 +6,7 @@
 use super::store::{Draft, Store, StoreError};
 use crate::clock::UnixTime;
 use crate::core::Invoker;
-use corkbay::{ModelId, Ms, Standing};
+use corkbay::{ModelId, Ms, WorkerState};
 use serde::{de::DeserializeOwned, Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt;
@@ -229,10 +229,10 @@
         zone: worker.zone,
         kind: worker.kind,
         cell: worker.cell,
-        standing: match worker.state {
-            State::Up => Standing::Ready,
-            State::Draining => Standing::Draining,
-            State::Removed => Standing::Gone,
+        state: match worker.state {
+            State::Up => WorkerState::Ready,
+            State::Draining => WorkerState::Draining,
+            State::Removed => WorkerState::Removed,
         },
         weight: worker.weight,
         since: UnixTime::NONE,
--- a/crates/node/src/memory/roster.rs
+++ b/crates/node/src/memory/roster.rs
@@ -2,7 +2,7 @@
 //! decision logic receives, and into whether work may be sent to each worker.
 use super::starts::{MonotonicReadings, ReportTime, ReportedStart};
 use crate::clock::{monotonic_ms, UnixTime};
-use corkbay::{position, Ms, Names, Roster, RosterEntry, Standing, WorkerId};
+use corkbay::{position, Ms, Names, RosterEntry, RosterUpdate, WorkerId, WorkerState};
 use corkbay_duty::Bans;
 use corkbay_ledger::pressure::{decide, Case, Decision};
 use corkbay_ledger::{Account, Purpose, Reservation};
@@ -26,7 +26,7 @@
     /// Number of its cell (rack).
     pub cell: i64,
     /// Whether it accepts work.
-    pub standing: Standing,
+    pub state: WorkerState,
     /// Capacity relative to other workers; 1.0 is nominal.
     pub weight: f64,
     /// When it last started, by the sender's wall clock; [`UnixTime::NONE`] for long ago.
@@ -89,13 +89,13 @@
     fn effective_entry(&self, bans: &Bans) -> RosterEntry {
         let mut entry = self.listed.clone();
         let is_suspended = bans.is_out(&entry.name);
-        if is_suspended && entry.standing == Standing::Ready {
-            entry.standing = Standing::Draining;
+        if is_suspended && entry.state == WorkerState::Ready {
+            entry.state = WorkerState::Draining;
         }
         // A host is restarted while it is suspended; the list may still report an earlier start.
-        entry.born = entry.born.max(bans.back_at(&entry.name).unwrap_or(0.0));
+        entry.started_at = entry.started_at.max(bans.back_at(&entry.name).unwrap_or(0.0));
         self.host.suspend(is_suspended);
-        self.host.bar(entry.standing != Standing::Ready);
+        self.host.bar(entry.state != WorkerState::Ready);
         entry
     }
 }
@@ -184,7 +184,7 @@
     }
 
     /// Replaces the operators' overrides on all hosts; returns the roster entries of the hosts whose override has changed.
-    pub fn adopt(&mut self, bans: Bans) -> Roster {
+    pub fn adopt(&mut self, bans: Bans) -> RosterUpdate {
         let before = std::mem::replace(&mut self.bans, bans);
         self.bans_held.owe(self.bans.bytes());
         let changed = self.hosts.values().filter(|known| {
@@ -193,12 +193,12 @@
         });
         let mut entries: Vec<RosterEntry> = changed.map(|known| known.effective_entry(&self.bans)).collect();
         entries.sort_unstable_by_key(|entry| entry.worker);
-        Roster::Changes(entries)
+        RosterUpdate::Changes(entries)
     }
 
     /// Applies listings and returns them as a roster for the decision logic. If the list is complete (`whole`), workers that
     /// it does not contain are marked as gone. `remembered` marks the last list of an earlier process.
-    pub fn apply(&mut self, listings: Vec<Listing>, whole: bool, remembered: bool) -> Roster {
+    pub fn apply(&mut self, listings: Vec<Listing>, whole: bool, remembered: bool) -> RosterUpdate {
         let count = listings.len();
         let entries: Vec<RosterEntry> =
             listings.into_iter().filter_map(|listing| self.entry(listing)).collect();
@@ -213,15 +213,15 @@
         if whole {
             self.mark_missing_as_gone(&listed);
         }
-        let gone = entries.iter().filter(|entry| entry.standing == Standing::Gone);
+        let gone = entries.iter().filter(|entry| entry.state == WorkerState::Removed);
         self.gone.extend(gone.map(|entry| entry.worker));
         while self.gone.len() > MAX_GONE_WORKERS {
             self.drop_longest_gone();
         }
         match (whole, remembered) {
-            (true, true) => Roster::Remembered(entries),
-            (true, false) => Roster::Whole(entries),
-            (false, _) => Roster::Changes(entries),
+            (true, true) => RosterUpdate::Stored(entries),
+            (true, false) => RosterUpdate::Complete(entries),
+            (false, _) => RosterUpdate::Changes(entries),
         }
     }
 
@@ -229,8 +229,8 @@
     fn mark_missing_as_gone(&mut self, listed: &HashSet<WorkerId>) {
         let mut missing = Vec::new();
         for (id, known) in &mut self.hosts {
-            if !listed.contains(id) && known.listed.standing != Standing::Gone {
-                known.listed.standing = Standing::Gone;
+            if !listed.contains(id) && known.listed.state != WorkerState::Removed {
+                known.listed.state = WorkerState::Removed;
                 known.host.bar(true);
                 missing.push(*id);
             }
@@ -286,9 +286,9 @@
             kind: position(&self.kinds, &listing.kind).unwrap_or(usize::MAX),
             name: listing.name,
             cell: listing.cell,
-            standing: listing.standing,
+            state: listing.state,
             weight: listing.weight,
-            born: start.started,
+            started_at: start.started,
         };
         let host = match self.hosts.remove(&id).map(|known| known.host) {
             Some(host) if host.address == listing.address => host,
--- a/crates/node/src/memory/roster/tests.rs
+++ b/crates/node/src/memory/roster/tests.rs
@@ -2,12 +2,12 @@
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-fn listing(name: usize, standing: Standing) -> Listing {
+fn listing(name: usize, state: WorkerState) -> Listing {
     let (zone, kind) = (String::new(), String::new());
     let address = "127.0.0.1:1".parse().expect("address");
     let (since, heard_without) = (UnixTime::NONE, Ms::NEG_INFINITY);
     let name = format!("w{name}");
-    Listing { name, address, zone, kind, cell: 0, standing, weight: 1.0, since, heard_without }
+    Listing { name, address, zone, kind, cell: 0, state, weight: 1.0, since, heard_without }
 }
 
 /// Guards against unbounded memory growth when hosts are replaced by new ones all the time.
@@ -15,10 +15,10 @@
 fn gone_hosts_are_dropped_and_their_ids_are_not_reused() {
     let account = Account::root("roster", 1 << 20);
     let mut directory = Directory::new(&Names::default(), &account);
-    directory.apply((0..4).map(|name| listing(name, Standing::Ready)).collect(), true, true);
+    directory.apply((0..4).map(|name| listing(name, WorkerState::Ready)).collect(), true, true);
     for name in 4..1000 {
-        directory.apply(vec![listing(name, Standing::Ready)], false, false);
-        directory.apply(vec![listing(name - 2, Standing::Gone)], false, false);
+        directory.apply(vec![listing(name, WorkerState::Ready)], false, false);
+        directory.apply(vec![listing(name - 2, WorkerState::Removed)], false, false);
     }
     assert_eq!(
         (directory.hosts.len(), directory.ids_by_name.len()),
@@ -27,25 +27,26 @@
     assert!(directory.host(WorkerId(2)).is_none());
     assert!(directory.host(WorkerId(1)).is_some_and(|host| !host.barred()), "it was never gone");
     assert!(directory.host(WorkerId(997)).is_some_and(|host| host.barred()), "reported recently");
-    let Roster::Changes(back) = directory.apply(vec![listing(2, Standing::Ready)], false, false) else {
+    let RosterUpdate::Changes(back) = directory.apply(vec![listing(2, WorkerState::Ready)], false, false)
+    else {
         panic!("changes")
     };
     assert_eq!(back[0].worker, WorkerId(1000));
-    directory.apply(vec![listing(1, Standing::Ready)], true, false);
+    directory.apply(vec![listing(1, WorkerState::Ready)], true, false);
     assert_eq!(directory.hosts.len(), MAX_GONE_WORKERS + 1, "workers missing from a complete list are gone");
     assert!(account.peak() < 2 * (MAX_GONE_WORKERS + 6) * worker_bytes("w1000"), "{}", account.peak());
     drop(directory);
     assert_eq!(account.used(), 0);
 }
 
-fn suspend(directory: &mut Directory, name: &str, now: Ms) -> Result<Roster, BanError> {
+fn suspend(directory: &mut Directory, name: &str, now: Ms) -> Result<RosterUpdate, BanError> {
     directory.may_suspend(name)?;
     let mut bans = directory.bans().clone();
     bans.suspend(name, now);
     Ok(directory.adopt(bans))
 }
 
-fn resume(directory: &mut Directory, name: &str, now: Ms) -> Result<Roster, BanError> {
+fn resume(directory: &mut Directory, name: &str, now: Ms) -> Result<RosterUpdate, BanError> {
     directory.may_resume(name)?;
     let mut bans = directory.bans().clone();
     bans.resume(name, now);
@@ -59,18 +60,19 @@
     let account = Account::root("roster", 1 << 20);
     let mut directory = Directory::new(&Names::default(), &account);
     for name in 0..200 {
-        directory.apply(vec![listing(name, Standing::Ready)], false, false);
-        directory.apply(vec![listing(name, Standing::Gone)], false, false);
+        directory.apply(vec![listing(name, WorkerState::Ready)], false, false);
+        directory.apply(vec![listing(name, WorkerState::Removed)], false, false);
     }
     assert!(!directory.ids_by_name.contains_key("w0"));
     assert_eq!(suspend(&mut directory, "never", 1.0).err(), Some(BanError::Unknown));
     assert!(suspend(&mut directory, "w0", 1.0).is_ok());
-    let Roster::Changes(back) = directory.apply(vec![listing(0, Standing::Ready)], false, false) else {
+    let RosterUpdate::Changes(back) = directory.apply(vec![listing(0, WorkerState::Ready)], false, false)
+    else {
         panic!("changes")
     };
-    assert_eq!(back[0].standing, Standing::Draining);
-    let Ok(Roster::Changes(back)) = resume(&mut directory, "w0", 7.0) else { panic!("changes") };
-    assert_eq!((back[0].standing, back[0].born), (Standing::Ready, 7.0), "restarted, and cold");
+    assert_eq!(back[0].state, WorkerState::Draining);
+    let Ok(RosterUpdate::Changes(back)) = resume(&mut directory, "w0", 7.0) else { panic!("changes") };
+    assert_eq!((back[0].state, back[0].started_at), (WorkerState::Ready, 7.0), "restarted, and cold");
     drop(directory);
     assert_eq!(account.used(), 0);
 }
@@ -100,7 +102,7 @@
     fn no_listing_lifts_a_suspension(steps in steps()) {
         let account = Account::root("roster", 1 << 20);
         let mut directory = Directory::new(&Names::default(), &account);
-        let state = |number: u8| [Standing::Ready, Standing::Draining, Standing::Gone][usize::from(number)];
+        let state = |number: u8| [WorkerState::Ready, WorkerState::Draining, WorkerState::Removed][usize::from(number)];
         // Last listed states, suspended hosts, and last states passed to the decision logic; by number of the name.
         let (mut listed, mut suspended, mut reported) = (BTreeMap::new(), BTreeSet::new(), BTreeMap::new());
         for (now, step) in steps.into_iter().enumerate() {
@@ -111,9 +113,9 @@
                 }
                 Step::Whole(list) => {
                     let list: BTreeMap<_, _> = list.into_iter().collect();
-                    listed.values_mut().for_each(|standing| *standing = Standing::Gone);
+                    listed.values_mut().for_each(|state| *state = WorkerState::Removed);
                     listed.extend(list.iter().map(|(name, number)| (*name, state(*number))));
-                    reported.values_mut().for_each(|standing| *standing = Standing::Gone);
+                    reported.values_mut().for_each(|state| *state = WorkerState::Removed);
                     let list = list.iter().map(|(name, number)| listing(*name, state(*number)));
                     Ok(directory.apply(list.collect(), true, false))
                 }
@@ -127,25 +129,25 @@
                 }
             };
             match roster {
-                Ok(Roster::Changes(list) | Roster::Whole(list)) => {
+                Ok(RosterUpdate::Changes(list) | RosterUpdate::Complete(list)) => {
                     reported.extend(list.into_iter().map(|entry| {
-                        (entry.name[1..].parse::<usize>().expect("ours"), entry.standing)
+                        (entry.name[1..].parse::<usize>().expect("ours"), entry.state)
                     }));
                 }
                 Ok(other) => panic!("{other:?}"),
                 Err(why) => prop_assert_eq!(why, BanError::Unknown),
             }
-            for (name, standing) in &listed {
+            for (name, state) in &listed {
                 let is_suspended = suspended.contains(name);
-                let expected = match standing {
-                    Standing::Ready if is_suspended => Standing::Draining,
+                let expected = match state {
+                    WorkerState::Ready if is_suspended => WorkerState::Draining,
                     other => *other,
                 };
                 prop_assert_eq!(reported.get(name), Some(&expected));
                 let id = directory.ids_by_name[&format!("w{name}")];
                 let host = directory.host(id).expect("few are known");
                 prop_assert_eq!(host.suspended(), is_suspended);
-                prop_assert_eq!(host.barred(), expected != Standing::Ready);
+                prop_assert_eq!(host.barred(), expected != WorkerState::Ready);
             }
         }
     }
@@ -157,17 +159,20 @@
 fn a_list_that_exceeds_its_account_skips_new_workers_but_no_updates() {
     let account = Account::root("roster", 10 * worker_bytes("w11"));
     let mut directory = Directory::new(&Names::default(), &account);
-    let mut report =
-        |name: usize, standing| match directory.apply(vec![listing(name, standing)], false, false) {
-            Roster::Changes(entries) => entries.first().map(|entry| (entry.worker.0, entry.standing)),
-            other => panic!("{other:?}"),
-        };
+    let mut report = |name: usize, state| match directory.apply(vec![listing(name, state)], false, false) {
+        RosterUpdate::Changes(entries) => entries.first().map(|entry| (entry.worker.0, entry.state)),
+        other => panic!("{other:?}"),
+    };
     for name in 0..10 {
-        assert_eq!(report(name, Standing::Ready), Some((name as u32, Standing::Ready)));
+        assert_eq!(report(name, WorkerState::Ready), Some((name as u32, WorkerState::Ready)));
     }
-    assert_eq!(report(10, Standing::Ready), None);
-    assert_eq!(report(3, Standing::Draining), Some((3, Standing::Draining)), "applied even if full");
-    assert_eq!(report(4, Standing::Gone), Some((4, Standing::Gone)));
-    assert_eq!(report(11, Standing::Ready), Some((10, Standing::Ready)), "takes the room of the gone worker");
+    assert_eq!(report(10, WorkerState::Ready), None);
+    assert_eq!(report(3, WorkerState::Draining), Some((3, WorkerState::Draining)), "applied even if full");
+    assert_eq!(report(4, WorkerState::Removed), Some((4, WorkerState::Removed)));
+    assert_eq!(
+        report(11, WorkerState::Ready),
+        Some((10, WorkerState::Ready)),
+        "takes the room of the gone worker"
+    );
     assert!(account.used() <= account.cap());
 }
--- a/crates/node/src/wire/channel.rs
+++ b/crates/node/src/wire/channel.rs
@@ -5,7 +5,7 @@
 use crate::memory::roster::Listing;
 use crate::memory::starts::Contact;
 use crate::timers;
-use corkbay::{Ms, Standing};
+use corkbay::{Ms, WorkerState};
 use corkbay_duty::Redial;
 use may::sync::Mutex;
 use serde::Deserialize;
@@ -86,10 +86,10 @@
             zone: endpoint.zone,
             kind: endpoint.kind,
             cell: endpoint.group,
-            standing: match endpoint.status {
-                Status::Up => Standing::Ready,
-                Status::Draining | Status::Other => Standing::Draining,
-                Status::Removed => Standing::Gone,
+            state: match endpoint.status {
+                Status::Up => WorkerState::Ready,
+                Status::Draining | Status::Other => WorkerState::Draining,
+                Status::Removed => WorkerState::Removed,
             },
             weight: endpoint.weight,
             since: UnixTime::from_ms(endpoint.since_ms),
--- a/crates/rig/src/scale/decisions.rs
+++ b/crates/rig/src/scale/decisions.rs
@@ -7,8 +7,8 @@
 use crate::daemon::Deployment;
 use clap::Args;
 use corkbay::{
-    Action, Dispatcher, Event, Finished, ModelId, Ms, Outcome, Request, RequestId, Roster, RosterEntry,
-    Settings, Standing, Tables, Warmth, WorkerId,
+    Action, Dispatcher, Event, Finished, ModelId, Ms, Outcome, Request, RequestId, RosterEntry, RosterUpdate,
+    Settings, TableSizes, Warmth, WorkerId, WorkerState,
 };
 use corkbay_node::life::deploy::{read, Deploy};
 use rand::{Rng, SeedableRng};
@@ -98,7 +98,7 @@
     served: u64,
     costs: BTreeMap<Work, Cost>,
     roster: Duration,
-    tables: Tables,
+    tables: TableSizes,
     resident: f64,
 }
 
@@ -141,7 +141,7 @@
     let deploy: Deploy =
         read(&deployment.text()).map_err(|error| ScaleError::Failed(format!("deploy file: {error}")))?;
     let mut settings = Settings::from_json(&deploy.settings());
-    settings.front_ends = options.invokers;
+    settings.invokers = options.invokers;
     settings.kind_memory = vec![AMPLE_MEMORY];
     Ok(settings)
 }
@@ -169,7 +169,7 @@
             ("calls measured", self.calls as f64, "calls"),
             ("calls served", self.served as f64, "calls"),
             ("models known", self.tables.models as f64, "models"),
-            ("lines known", self.tables.lines as f64, "lines"),
+            ("lines known", self.tables.entries as f64, "lines"),
             ("memory told", self.tables.bytes as f64, "bytes"),
             ("memory resident", self.resident, "bytes"),
         ];
@@ -224,7 +224,7 @@
         };
         let entries: Vec<RosterEntry> =
             (0..point.workers).map(|number| entry(number, options.zones)).collect();
-        fleet.roster = fleet.handle(Event::Roster(Roster::Whole(entries)));
+        fleet.roster = fleet.handle(Event::Roster(RosterUpdate::Complete(entries)));
         fleet
     }
 
@@ -245,7 +245,7 @@
             at += 1000.0 / options.rate;
         }
         self.run_until(end);
-        let tables = self.dispatcher.remembered();
+        let tables = self.dispatcher.table_sizes();
         let resident = own_resident()? - self.resident_before;
         let (served, roster, costs) = (self.served, self.roster, self.costs.clone());
         Ok(Reading { calls, served, costs, roster, tables, resident })
@@ -351,8 +351,18 @@
         let attempt = *attempts;
         *attempts += 1;
         self.served += u64::from(stands);
-        let (warmth, crowd, report) = (Warmth::Untold, None, None);
-        let end = Finished { id, attempt, worker, closed: stands, outcome, took, warmth, crowd, report };
+        let (warmth, crowd, report) = (Warmth::Unknown, None, None);
+        let end = Finished {
+            id,
+            attempt,
+            worker,
+            closed: stands,
+            outcome,
+            took,
+            warmth,
+            concurrent_calls: crowd,
+            report,
+        };
         self.plan(took, Event::Finished(end));
     }
 
@@ -398,8 +408,8 @@
         zone,
         kind: 0,
         cell: zone as i64,
-        standing: Standing::Ready,
+        state: WorkerState::Ready,
         weight: 1.0,
-        born: 0.0,
+        started_at: 0.0,
     }
 }
--- a/crates/rig/src/scale/worker_list.rs
+++ b/crates/rig/src/scale/worker_list.rs
@@ -3,7 +3,7 @@
 use super::usage::{own_resident, thread_cpu};
 use super::{Measurement, ScaleContext, ScaleError};
 use clap::Args;
-use corkbay::{ModelId, Ms, Names, Standing};
+use corkbay::{ModelId, Ms, Names, WorkerState};
 use corkbay_ledger::{Budget, Ledger, Purpose, Shares, MIB};
 use corkbay_node::core::UnixTime;
 use corkbay_node::core::{AttemptError, Call, Ending, Exchange, Invoker, Workers};
@@ -226,7 +226,7 @@
         zone: zone_name(number, options),
         kind: "standard".into(),
         cell: cell(number, options),
-        standing: Standing::Ready,
+        state: WorkerState::Ready,
         weight: 1.0,
         since: UnixTime::NONE,
         heard_without: f64::NEG_INFINITY,
--- a/crates/wirehost/src/wire.rs
+++ b/crates/wirehost/src/wire.rs
@@ -15,9 +15,9 @@
     zone: String,
     kind: String,
     cell: i64,
-    standing: Standing,
+    state: WorkerState,
     weight: f64,
-    born: f64,
+    started_at: f64,
 }
 
 /// One simulated front end with the names it knows.
@@ -190,14 +190,14 @@
                 let kind = parts.text("kind")?;
                 let bank = parts.whole_or("bank", 0)?;
                 if kind == "refused" {
-                    Event::Roster(Roster::Refused)
+                    Event::Roster(RosterUpdate::Refused)
                 } else {
                     let list = self.banks.get(&bank).ok_or_else(|| format!("ANNOUNCE: no list {bank}"))?;
                     let entries = list.iter().map(|entry| instance.roster_entry(entry)).collect();
                     Event::Roster(match kind {
-                        "changes" => Roster::Changes(entries),
-                        "all" => Roster::Whole(entries),
-                        "remembered" => Roster::Remembered(entries),
+                        "changes" => RosterUpdate::Changes(entries),
+                        "all" => RosterUpdate::Complete(entries),
+                        "remembered" => RosterUpdate::Stored(entries),
                         other => return parts.bad("kind", other),
                     })
                 }
@@ -219,9 +219,9 @@
                         2 => Warmth::Loaded,
                         3 => Warmth::Waited,
                         4 => Warmth::LoadFailed,
-                        _ => Warmth::Untold,
+                        _ => Warmth::Unknown,
                     },
-                    crowd: (instance.crowd && matches!(outcome, Outcome::Ok | Outcome::Full))
+                    concurrent_calls: (instance.crowd && matches!(outcome, Outcome::Ok | Outcome::Full))
                         .then_some((detail / 8) as u32),
                     report: instance.report(parts)?,
                 })
@@ -270,14 +270,14 @@
         zone: parts.get("dc").unwrap_or("").to_string(),
         kind: parts.get("flavor").unwrap_or("").to_string(),
         cell: parts.maybe_number("cell")?.unwrap_or(-1.0) as i64,
-        standing: match parts.text("phase")? {
-            "active" => Standing::Ready,
-            "leaving" => Standing::Draining,
-            "left" => Standing::Gone,
+        state: match parts.text("phase")? {
+            "active" => WorkerState::Ready,
+            "leaving" => WorkerState::Draining,
+            "left" => WorkerState::Removed,
             other => return parts.bad("phase", other),
         },
         weight: parts.maybe_number("size")?.unwrap_or(1.0),
-        born: parts.maybe_number("bornMs")?.unwrap_or(0.0),
+        started_at: parts.maybe_number("bornMs")?.unwrap_or(0.0),
     })
 }
 
@@ -309,9 +309,9 @@
             zone: position(&self.names.zones, &entry.zone).unwrap_or(usize::MAX),
             kind: position(&self.names.kinds, &entry.kind).unwrap_or(usize::MAX),
             cell: entry.cell,
-            standing: entry.standing,
+            state: entry.state,
             weight: entry.weight,
-            born: entry.born,
+            started_at: entry.started_at,
         }
     }
 
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -60,7 +60,7 @@
 
 /// What a worker does with a call of a model that it hasn't loaded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lacking {
+pub enum MissingModelBehavior {
     /// It loads the model while the call waits there.
     Loads,
     /// It answers [`Outcome::Miss`]; only a load order loads the model.
@@ -75,7 +75,7 @@
     /// The host's batch interval, in ms.
     pub tick: Ms,
     /// Number of invokers, including this one.
-    pub front_ends: u32,
+    pub invokers: u32,
     /// Classes, by index.
     pub classes: Vec<Class>,
     /// Tenants, by index.
@@ -101,7 +101,7 @@
     /// The roster is sent only on request.
     pub roster_on_request: bool,
     /// Time after which a roster sent on request is stale, in ms.
-    pub ask_within: Ms,
+    pub roster_max_age: Ms,
     /// Time within which sends to a draining worker must stop, in ms.
     pub drain_grace: Ms,
     /// Lowest share of its capacity that a worker starts with, from 0 to 1.
@@ -109,26 +109,26 @@
     /// Time after its start at which a worker is warm, in ms.
     pub cold_span: Ms,
     /// A cold worker fails if it is sent more than this multiple of its present capacity during
-    /// `fall_span`.
-    pub fall_multiple: f64,
-    /// Span over which `fall_multiple` counts, in ms.
-    pub fall_span: Ms,
+    /// `overload_span`.
+    pub overload_multiple: f64,
+    /// Span over which `overload_multiple` counts, in ms.
+    pub overload_span: Ms,
     /// What a worker does with a call of a model that it hasn't loaded.
-    pub lacking: Lacking,
+    pub on_missing_model: MissingModelBehavior,
     /// Load and evict orders are allowed.
-    pub orders: bool,
+    pub load_orders_allowed: bool,
     /// Shortest time for which a worker keeps an idle copy, in ms.
-    pub keep: Ms,
+    pub min_idle_keep: Ms,
     /// Load orders allowed per window regardless of requests.
-    pub load_free: f64,
+    pub load_quota_base: f64,
     /// Further load orders allowed per request taken in the window.
-    pub load_share: f64,
+    pub load_quota_per_request: f64,
     /// Window over which load orders are counted, in ms; 0 for no limit.
     pub load_window: Ms,
     /// Longest time from the decision on a load order until it is sent, in ms; the host drops later ones.
     pub order_lag: Ms,
     /// Answers report whether a loaded copy was found.
-    pub tells_warm: bool,
+    pub reports_warmth: bool,
     /// Price of an attempt in another zone, as a share of a request's worth.
     pub price_cross: f64,
     /// Price of a probe or order, as a share of a request's worth.
@@ -139,13 +139,13 @@
 
 /// State of a worker in the roster.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum WorkerState {
     /// Accepts calls.
     Ready,
     /// Finishes its calls and gets no new ones.
     Draining,
     /// Removed.
-    Gone,
+    Removed,
 }
 
 /// An entry of the roster.
@@ -162,22 +162,22 @@
     /// Its cell.
     pub cell: i64,
     /// Whether it accepts calls.
-    pub standing: Standing,
+    pub state: WorkerState,
     /// Capacity relative to other workers.
     pub weight: f64,
     /// Time of its last start, in ms; 0 for long ago.
-    pub born: Ms,
+    pub started_at: Ms,
 }
 
 /// An update of the roster.
 #[derive(Clone, Debug)]
-pub enum Roster {
+pub enum RosterUpdate {
     /// Changed entries only.
     Changes(Vec<RosterEntry>),
     /// The complete list.
-    Whole(Vec<RosterEntry>),
+    Complete(Vec<RosterEntry>),
     /// The complete list as stored by an earlier process.
-    Remembered(Vec<RosterEntry>),
+    Stored(Vec<RosterEntry>),
     /// A request for the roster failed.
     Refused,
 }
@@ -239,7 +239,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Warmth {
     /// Nothing was reported.
-    Untold,
+    Unknown,
     /// A copy was loaded.
     Warm,
     /// The call started a load.
@@ -279,7 +279,7 @@
     /// What the answer reports about the copy.
     pub warmth: Warmth,
     /// Other calls of the model in progress at the worker, if reported.
-    pub crowd: Option<u32>,
+    pub concurrent_calls: Option<u32>,
     /// Load report, if any.
     pub report: Option<Report>,
 }
@@ -288,7 +288,7 @@
 #[derive(Clone, Debug)]
 pub enum Event {
     /// The roster has changed.
-    Roster(Roster),
+    Roster(RosterUpdate),
     /// A request was taken.
     Request(Request),
     /// The answer of an attempt has started to stream.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -14,7 +14,7 @@
 pub use interface::*;
 pub use policy::Dispatcher;
 pub use settings::{position, Names};
-pub use state::Tables;
+pub use state::TableSizes;
 
 #[cfg(doctest)]
 #[doc = include_str!("../README.md")]
--- a/src/policy/beliefs.rs
+++ b/src/policy/beliefs.rs
@@ -62,7 +62,7 @@
 
     /// Time of its last start, as far as known: 0 for long ago.
     pub(super) fn started_at(&self) -> Ms {
-        self.born.max(self.connect_failed_at)
+        self.started_at.max(self.connect_failed_at)
     }
 
     /// Whether the worker started recently and is still in slow start.
@@ -73,7 +73,7 @@
     /// Whether the worker is ranked at full capacity although it is cold: this invoker has had no call for
     /// it since its start, and invokers are few.
     pub(super) fn is_untried(&self, settings: &Settings) -> bool {
-        self.cold_demand.last_added_at <= 0.0 && f64::from(settings.front_ends) <= UNRESTRICTED_FIRST_CALLS
+        self.cold_demand.last_added_at <= 0.0 && f64::from(settings.invokers) <= UNRESTRICTED_FIRST_CALLS
     }
 
     /// Present capacity of the worker as a part of its full capacity: 1 unless it is cold.
--- a/src/policy/loading.rs
+++ b/src/policy/loading.rs
@@ -9,15 +9,15 @@
     pub(super) fn query_copies(&mut self, model_id: ModelId, actions: &mut Vec<Action>) -> bool {
         let Some(model) = self.models.get_mut(&model_id) else { return false };
         let (now, since) = (self.now, self.now - model.queried_at);
-        if model.queried_at > 0.0 && since < self.settings.keep / 2.0 {
+        if model.queried_at > 0.0 && since < self.settings.min_idle_keep / 2.0 {
             return model.open_queries > 0 && since < self.min_aim / TICKS_PER_AIM;
         }
         (model.queried_at, model.open_queries) = (now, 0);
         let mut zones = BTreeSet::new();
         for worker_id in model.preferred.iter() {
             let Some(worker) = self.workers.get_mut(&worker_id) else { continue };
-            let recently_unreachable =
-                worker.connect_failed_at > 0.0 && now < worker.connect_failed_at + self.settings.fall_span;
+            let recently_unreachable = worker.connect_failed_at > 0.0
+                && now < worker.connect_failed_at + self.settings.overload_span;
             let known_absent = model.entries.get(&worker_id).is_some_and(|entry| entry.absent_until > now);
             if worker.full_until <= now && !recently_unreachable && zones.insert(worker.zone) && !known_absent
             {
@@ -35,8 +35,8 @@
     pub(super) fn within_load_quota(&self) -> bool {
         let (settings, since, lag) =
             (&self.settings, self.now - self.settings.load_window, self.settings.order_lag);
-        let allowed =
-            settings.load_free + settings.load_share * self.recent_requests.since(since + lag) as f64;
+        let allowed = settings.load_quota_base
+            + settings.load_quota_per_request * self.recent_requests.since(since + lag) as f64;
         settings.load_window <= 0.0 || self.recent_load_orders.since(since - lag) as f64 + 1.0 <= allowed
     }
 
@@ -47,8 +47,9 @@
         };
         let under_way =
             self.loads_in_progress.range((model_id, WorkerId(0))..=(model_id, WorkerId(u32::MAX))).count();
-        let is_blocked =
-            !self.settings.orders || under_way >= MAX_LOADS_PER_MODEL || self.now < model.load_retry_at;
+        let is_blocked = !self.settings.load_orders_allowed
+            || under_way >= MAX_LOADS_PER_MODEL
+            || self.now < model.load_retry_at;
         if is_blocked
             || self.loads_in_progress.len() as f64 >= self.max_concurrent_loads
             || !self.within_load_quota()
@@ -57,8 +58,10 @@
         }
         let class = pending.request.class;
         let is_unsuitable = |id: &WorkerId, worker: &Worker| {
-            let is_loaded =
-                model.entries.get(id).is_some_and(|entry| entry.is_loaded(self.now, self.settings.keep));
+            let is_loaded = model
+                .entries
+                .get(id)
+                .is_some_and(|entry| entry.is_loaded(self.now, self.settings.min_idle_keep));
             let until = worker.no_room_until.max(worker.full_until);
             !worker.ready
                 || !self.within_dedup_group(worker, pending)
@@ -103,7 +106,7 @@
         for &id in worker.known_models.iter().filter(|id| **id != model_id) {
             let Some(model) = self.models.get(&id) else { continue };
             let Some(entry) = model.entries.get(&worker_id) else { continue };
-            let is_loaded = entry.is_loaded(self.now, self.settings.keep);
+            let is_loaded = entry.is_loaded(self.now, self.settings.min_idle_keep);
             let loading = self.loads_in_progress.contains(&(id, worker_id));
             if is_loaded || loading {
                 let held_mb = model.memory * f64::from(entry.copies.max(1));
@@ -128,7 +131,8 @@
     /// The eviction weight of the paper, size / (frequency + recency): the frequency decays by half in each
     /// keep time, the recency lies between 0 and 1.
     pub(super) fn eviction_weight(&self, model: &Model) -> f64 {
-        let age = (self.now - model.recent_calls.last_added_at).max(0.0) / self.settings.keep;
-        model.memory.max(1.0) / (model.recent_calls.at(self.now, self.settings.keep) + 1.0 / (1.0 + age))
+        let age = (self.now - model.recent_calls.last_added_at).max(0.0) / self.settings.min_idle_keep;
+        model.memory.max(1.0)
+            / (model.recent_calls.at(self.now, self.settings.min_idle_keep) + 1.0 / (1.0 + age))
     }
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -97,7 +97,7 @@
     taken_calls: DecayingCount,
     served_calls: DecayingCount,
     effective_workers: DecayingAverage,
-    /// Half-life, in ms, of counts that cover about one `fall_span`.
+    /// Half-life, in ms, of counts that cover about one `overload_span`.
     half_life: Ms,
     recent_requests: RecentUnique<RequestId>,
     recent_load_orders: RecentUnique<u64>,
@@ -119,9 +119,10 @@
             class.aim = class.aim.max(1.0);
         }
         let min_aim = settings.classes.iter().map(|class| class.aim).reduce(f64::min).unwrap_or(1000.0);
-        settings.keep = if settings.keep > 0.0 { settings.keep } else { 10.0 * min_aim };
-        (settings.order_lag, settings.fall_span) =
-            (settings.order_lag.max(settings.tick), settings.fall_span.max(1.0));
+        settings.min_idle_keep =
+            if settings.min_idle_keep > 0.0 { settings.min_idle_keep } else { 10.0 * min_aim };
+        (settings.order_lag, settings.overload_span) =
+            (settings.order_lag.max(settings.tick), settings.overload_span.max(1.0));
         Dispatcher {
             rng: SmallRng::seed_from_u64(seed),
             now: 0.0,
@@ -148,7 +149,7 @@
             taken_calls: DecayingCount::default(),
             served_calls: DecayingCount::default(),
             effective_workers: DecayingAverage::default(),
-            half_life: settings.fall_span * std::f64::consts::LN_2,
+            half_life: settings.overload_span * std::f64::consts::LN_2,
             recent_requests: RecentUnique::default(),
             recent_load_orders: RecentUnique::default(),
             min_aim,
@@ -196,9 +197,9 @@
             self.next_tick_at = self.now + timer_period;
             actions.push(Action::Timer { token: 0, delay: timer_period });
             let effective_workers = self.effective_worker_count();
-            self.effective_workers.record(self.now, effective_workers, self.settings.keep);
+            self.effective_workers.record(self.now, effective_workers, self.settings.min_idle_keep);
             if self.settings.roster_on_request
-                && self.now - self.last_subscribed_at > self.settings.ask_within / 4.0
+                && self.now - self.last_subscribed_at > self.settings.roster_max_age / 4.0
             {
                 self.last_subscribed_at = self.now;
                 actions.push(Action::Subscribe);
@@ -211,12 +212,12 @@
     }
 
     /// Sizes of the tables, for monitoring.
-    pub fn remembered(&self) -> Tables {
-        Tables::of(&self.models, &self.workers, &self.fleet, self.scheduled_tasks.len())
+    pub fn table_sizes(&self) -> TableSizes {
+        TableSizes::of(&self.models, &self.workers, &self.fleet, self.scheduled_tasks.len())
     }
 
     /// Memory that a call of the model would add to the tables, in bytes: 0 if the model is known.
-    pub fn adds(&self, model: ModelId) -> usize {
+    pub fn model_cost_bytes(&self, model: ModelId) -> usize {
         self.models.get(&model).map_or(Model::cost(self.fleet.len()), |_| 0)
     }
 
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -57,7 +57,7 @@
     /// Updates the estimates for the worker, the model and the class from the result of an attempt.
     pub(super) fn update_beliefs(&mut self, sent_attempt: &InFlightAttempt, end: &Finished) {
         let &Finished { outcome, took, warmth, .. } = end;
-        let (now, keep, class) = (self.now, self.settings.keep, sent_attempt.class);
+        let (now, keep, class) = (self.now, self.settings.min_idle_keep, sent_attempt.class);
         let aim = self.settings.classes[class].aim;
         let Some(worker) = self.workers.get_mut(&sent_attempt.worker) else { return };
         let Some(model) = self.models.get_mut(&sent_attempt.model) else { return };
@@ -92,7 +92,7 @@
                 self.served_calls.add(now, keep);
                 worker.recent_answers.add(now, self.half_life);
                 let loaded = matches!(warmth, Warmth::Loaded | Warmth::Waited)
-                    || warmth == Warmth::Untold && !sent_attempt.warm && took > self.load_ms / 2.0;
+                    || warmth == Warmth::Unknown && !sent_attempt.warm && took > self.load_ms / 2.0;
                 if !loaded && !stalled {
                     update_moving_average(
                         &mut worker.latency_ratio,
@@ -141,8 +141,8 @@
     pub(super) fn note_connect_failure(&mut self, id: WorkerId) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(&id) else { return };
-        worker.health.iter_mut().for_each(|health| health.record(now, self.settings.keep, true));
-        let died = worker.reset_at > 0.0 && now < worker.reset_at + self.settings.keep;
+        worker.health.iter_mut().for_each(|health| health.record(now, self.settings.min_idle_keep, true));
+        let died = worker.reset_at > 0.0 && now < worker.reset_at + self.settings.min_idle_keep;
         worker.connect_failed_at = now;
         for model in worker.known_models.iter().filter(|_| died) {
             let entry = self.models.get_mut(model).and_then(|model| model.entries.get_mut(&id));
@@ -163,7 +163,7 @@
         let Some(model) = self.models.get_mut(&model_id) else { return };
         let Some(worker) = self.workers.get_mut(&id) else { return };
         worker.known_models.insert(model_id);
-        model.note_answer(outcome, copies > 0, now + self.settings.keep / 2.0);
+        model.note_answer(outcome, copies > 0, now + self.settings.min_idle_keep / 2.0);
         let entry = model.entries.entry(id).or_default();
         let is_own_order = self.loads_in_progress.remove(&(model_id, id));
         model.open_queries = model.open_queries.saturating_sub(u32::from(!is_own_order));
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -23,12 +23,12 @@
         if model.recent_calls.last_added_at > 0.0 {
             self.recent_requests.add(self.now, id, self.settings.load_window);
         }
-        model.recent_calls.add(self.now, self.settings.keep);
+        model.recent_calls.add(self.now, self.settings.min_idle_keep);
         if let Some(hint) = request.load_hint.filter(|hint| *hint > 0.0) {
             update_moving_average(&mut self.load_ms, hint);
         }
         self.retry_budget = (self.retry_budget + RETRY_RATIO).min(1.0 / RETRY_RATIO);
-        self.taken_calls.add(self.now, self.settings.keep);
+        self.taken_calls.add(self.now, self.settings.min_idle_keep);
         self.seq += 1;
         let left = request.expires - self.now;
         if left < 3.0 * self.timer_period() {
--- a/src/policy/roster.rs
+++ b/src/policy/roster.rs
@@ -15,8 +15,8 @@
         !self.health.is_empty()
             && (self.hash, self.zone, self.kind, self.cell) == (hash, entry.zone, entry.kind, entry.cell)
             && (self.ready, self.gone)
-                == (entry.standing == Standing::Ready, entry.standing == Standing::Gone)
-            && (self.weight, self.born) == (weight_of(entry), entry.born)
+                == (entry.state == WorkerState::Ready, entry.state == WorkerState::Removed)
+            && (self.weight, self.started_at) == (weight_of(entry), entry.started_at)
     }
 }
 
@@ -29,14 +29,14 @@
 }
 
 impl Dispatcher {
-    pub(super) fn apply_roster(&mut self, roster: Roster) {
+    pub(super) fn apply_roster(&mut self, roster: RosterUpdate) {
         let entries = match roster {
-            Roster::Changes(entries) => entries,
-            Roster::Whole(entries) | Roster::Remembered(entries) => {
+            RosterUpdate::Changes(entries) => entries,
+            RosterUpdate::Complete(entries) | RosterUpdate::Stored(entries) => {
                 self.mark_unlisted_gone(&entries);
                 entries
             }
-            Roster::Refused => return,
+            RosterUpdate::Refused => return,
         };
         entries.iter().for_each(|entry| self.apply_entry(entry));
     }
@@ -59,11 +59,11 @@
             return;
         }
         // A new process has no copies, no loads and no attempts in flight, and its health starts afresh.
-        if entry.born > worker.born || worker.health.is_empty() {
+        if entry.started_at > worker.started_at || worker.health.is_empty() {
             for model in &worker.known_models {
                 let copy_entry = self.models.get_mut(model).and_then(|m| m.entries.get_mut(&entry.worker));
                 if let Some(copy_entry) =
-                    copy_entry.filter(|copy_entry| copy_entry.confirmed_at <= entry.born)
+                    copy_entry.filter(|copy_entry| copy_entry.confirmed_at <= entry.started_at)
                 {
                     copy_entry.copies = 0;
                 }
@@ -87,10 +87,10 @@
         }
         worker.hash = hash;
         (worker.zone, worker.kind, worker.cell) = (entry.zone, entry.kind, entry.cell);
-        worker.ready = entry.standing == Standing::Ready;
-        worker.gone = entry.standing == Standing::Gone;
+        worker.ready = entry.state == WorkerState::Ready;
+        worker.gone = entry.state == WorkerState::Removed;
         worker.weight = weight_of(entry);
-        worker.born = entry.born;
+        worker.started_at = entry.started_at;
         self.index_worker(entry.worker);
     }
 
--- a/src/policy/routing.rs
+++ b/src/policy/routing.rs
@@ -39,7 +39,8 @@
     /// weigh in: a worker known to answer is preferred while many fail, and none is avoided when all fail
     /// alike.
     pub(super) fn failure_odds(&self, worker: &Worker, class: usize) -> f64 {
-        let decay = |health: &Health| 0.5f64.powf((self.now - health.updated_at) / self.settings.keep);
+        let decay =
+            |health: &Health| 0.5f64.powf((self.now - health.updated_at) / self.settings.min_idle_keep);
         let all: f64 = worker.health.iter().map(|health| health.failures * decay(health)).sum();
         let own = &worker.health[class];
         let (successes, own) = (own.successes * decay(own), own.failures * decay(own));
@@ -85,7 +86,7 @@
         let load = f64::from(worker.in_flight) + 1.0;
         let latency_ratio = 1.0
             + (worker.latency_ratio - 1.0)
-                * 0.5f64.powf((now - worker.latency_ratio_at) / self.settings.keep);
+                * 0.5f64.powf((now - worker.latency_ratio_at) / self.settings.min_idle_keep);
         let busy = entry.map_or(0.0, |entry| f64::from(entry.in_flight));
         let copies = f64::from(entry.map_or(1, |entry| entry.copies.max(1)));
         let queue = ((busy + 1.0) / (lanes * copies) - 1.0).max(0.0);
@@ -96,7 +97,7 @@
 
     /// Sends a waiting call, ends it, or orders a load for it. Returns false if the call has to wait.
     pub(super) fn place_call(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
-        let may_order = self.settings.orders && self.within_load_quota();
+        let may_order = self.settings.load_orders_allowed && self.within_load_quota();
         let Some(pending) = self.pending.get(&id).filter(|pending| pending.in_flight == 0) else {
             return true;
         };
@@ -134,8 +135,8 @@
         let is_expensive = found.best.is_none_or(|best| best.0 .2 > self.load_ms + usual_latency_ms);
         // Queries the workers for copies before ordering a load; also before sending a call that would
         // itself start a load at a worker.
-        let worker_loads = self.settings.lacking == Lacking::Loads;
-        if self.settings.orders
+        let worker_loads = self.settings.on_missing_model == MissingModelBehavior::Loads;
+        if self.settings.load_orders_allowed
             && !self.finds_copies_by_calls()
             && !found.copy_known
             && (is_expensive || worker_loads)
@@ -152,19 +153,19 @@
     /// Whether copies in other zones are found by sending calls there instead of by queries: where a query
     /// costs more than half of a zone crossing and a call is answered with a miss where no copy is loaded.
     pub(super) fn finds_copies_by_calls(&self) -> bool {
-        self.settings.lacking == Lacking::Misses
+        self.settings.on_missing_model == MissingModelBehavior::Misses
             && 2.0 * self.settings.price_probe > self.settings.price_cross
     }
 
     pub(super) fn send(&mut self, id: RequestId, worker_id: WorkerId, actions: &mut Vec<Action>) -> bool {
-        let (now, keep) = (self.now, self.settings.keep);
+        let (now, keep) = (self.now, self.settings.min_idle_keep);
         let (Some(pending), Some(worker)) = (self.pending.get_mut(&id), self.workers.get_mut(&worker_id))
         else {
             return true;
         };
         let (class, model, attempt) = (pending.request.class, pending.request.model, pending.attempts);
         worker.in_flight += 1;
-        worker.recent_sends.add(now, self.settings.fall_span.min(self.settings.cold_span));
+        worker.recent_sends.add(now, self.settings.overload_span.min(self.settings.cold_span));
         (pending.attempts, pending.in_flight) = (attempt + 1, pending.in_flight + 1);
         pending.may_have_run.push((attempt, worker_id, now));
         let entry = self.models.entry(model).or_default().entries.entry(worker_id).or_default();
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -10,21 +10,22 @@
 const MAX_TAKEN_PER_SERVED: f64 = 4.0;
 
 impl Dispatcher {
-    /// Calls of this invoker that a cold worker may get within `fall_span`, the span over which overload
+    /// Calls of this invoker that a cold worker may get within `overload_span`, the span over which overload
     /// makes it fail. It is the worker's share, by its present capacity, of the calls that the fleet served
     /// recently (of the calls taken, where hardly any were served yet), plus an allowance for the calls
-    /// that it answered itself, at most `fall_multiple` times the share.
+    /// that it answered itself, at most `overload_multiple` times the share.
     pub(super) fn cold_call_allowance(&self, worker: &Worker) -> f64 {
-        let [taken, served] =
-            [&self.taken_calls, &self.served_calls].map(|calls| calls.at(self.now, self.settings.keep));
+        let [taken, served] = [&self.taken_calls, &self.served_calls]
+            .map(|calls| calls.at(self.now, self.settings.min_idle_keep));
         let demand_per_worker = (taken - MAX_TAKEN_PER_SERVED * served) / self.fleet.len().max(1) as f64;
-        let rate =
-            (served / self.effective_workers.value.max(1.0)).max(demand_per_worker) / self.settings.keep;
+        let rate = (served / self.effective_workers.value.max(1.0)).max(demand_per_worker)
+            / self.settings.min_idle_keep;
         let share = worker.warmth(self.now, &self.settings) * worker.weight / self.fleet.mean_weight()
             * rate
             * self.half_life;
-        let earned = (self.settings.fall_multiple - 1.0) * worker.recent_answers.at(self.now, self.half_life);
-        (share + earned).min(self.settings.fall_multiple * share)
+        let earned =
+            (self.settings.overload_multiple - 1.0) * worker.recent_answers.at(self.now, self.half_life);
+        (share + earned).min(self.settings.overload_multiple * share)
     }
 
     /// Whether a call must avoid a worker: it is cold, and its allowance is used up, or the call recently
@@ -35,13 +36,15 @@
         worker: &Worker,
         worker_id: WorkerId,
     ) -> bool {
-        let lost_draws =
-            pending.cold_draws.iter().filter(|draw| !draw.1 && self.now < draw.2 + self.settings.fall_span);
+        let lost_draws = pending
+            .cold_draws
+            .iter()
+            .filter(|draw| !draw.1 && self.now < draw.2 + self.settings.overload_span);
         let lost = || {
             lost_draws.clone().count() >= MAX_LOST_DRAWS || lost_draws.clone().any(|draw| draw.0 == worker_id)
         };
         let full = || {
-            worker.recent_sends.count(self.now, self.settings.fall_span)
+            worker.recent_sends.count(self.now, self.settings.overload_span)
                 >= self.cold_call_allowance(worker).max(1.0)
         };
         worker.is_cold(self.now, &self.settings) && (full() || lost())
@@ -56,12 +59,12 @@
         let Some(worker) = self.workers.get(&worker_id).filter(|worker| worker.is_cold(now, settings)) else {
             return true;
         };
-        let left = self.cold_call_allowance(worker) - worker.recent_sends.count(now, settings.fall_span);
+        let left = self.cold_call_allowance(worker) - worker.recent_sends.count(now, settings.overload_span);
         let (Some(pending), Some(worker)) = (self.pending.get_mut(&id), self.workers.get_mut(&worker_id))
         else {
             return true;
         };
-        pending.cold_draws.retain(|draw| now < draw.2 + settings.fall_span);
+        pending.cold_draws.retain(|draw| now < draw.2 + settings.overload_span);
         if let Some(previous) = pending.cold_draws.iter().find(|draw| draw.0 == worker_id) {
             return previous.1;
         }
@@ -69,7 +72,7 @@
         self.returned_workers.remove(&worker_id);
         let probability = if left < 1.0 { left / demand } else { 1.0 };
         let min_probability =
-            if demand <= 1.0 { UNRESTRICTED_FIRST_CALLS / f64::from(settings.front_ends) } else { 0.0 };
+            if demand <= 1.0 { UNRESTRICTED_FIRST_CALLS / f64::from(settings.invokers) } else { 0.0 };
         let drawn = self.rng.random::<f64>() < probability.max(min_probability);
         pending.cold_draws.push((worker_id, drawn, now));
         drawn
--- a/src/policy/survey.rs
+++ b/src/policy/survey.rs
@@ -29,7 +29,7 @@
             let best = Some(((false, false, 0.0), worker_id));
             return Some(SearchResult { best, copy_known: true, ..SearchResult::default() });
         }
-        let misses = self.settings.lacking == Lacking::Misses;
+        let misses = self.settings.on_missing_model == MissingModelBehavior::Misses;
         let may_try_unloaded = misses && pending.attempts + 1 < self.settings.max_attempts || !may_order;
         let (healthy_zones, examined, found) = (BTreeSet::new(), Vec::new(), SearchResult::default());
         let mut search = WorkerSearch {
@@ -95,7 +95,7 @@
             self.examined.push(candidate.worker);
             self.examine(candidate.worker);
         }
-        let keep = self.dispatcher.settings.keep;
+        let keep = self.dispatcher.settings.min_idle_keep;
         for (&worker_id, entry) in &model.entries {
             if !entry.is_loaded(self.dispatcher.now, keep) || self.examined.contains(&worker_id) {
                 continue;
@@ -112,7 +112,7 @@
             (pending.request.model, pending.request.class, dispatcher.now, &dispatcher.settings);
         let Some(worker) = dispatcher.workers.get(&worker_id) else { return };
         let entry = model.entries.get(&worker_id);
-        let is_loaded = entry.is_some_and(|entry| entry.is_loaded(now, settings.keep));
+        let is_loaded = entry.is_some_and(|entry| entry.is_loaded(now, settings.min_idle_keep));
         let finds_copies_by_calls = dispatcher.finds_copies_by_calls();
         // Cold workers outside the first zone searched are left out: they hold few copies, and their
         // allowance of calls is small.
--- a/src/policy/timers.rs
+++ b/src/policy/timers.rs
@@ -51,7 +51,7 @@
             self.attempts_in_flight.entry((id, attempt)).and_modify(|sent_attempt| sent_attempt.lost = true);
             self.schedule(self.now + answer_timeout, ScheduledTask::CheckAnswer(id, attempt));
         } else {
-            worker.health[class].record(self.now, self.settings.keep, true);
+            worker.health[class].record(self.now, self.settings.min_idle_keep, true);
             update_moving_average(&mut self.failure_rate[class], 1.0);
             let has_attempts_left =
                 |p: &PendingRequest| p.attempts < self.settings.max_attempts && !p.streaming;
@@ -73,7 +73,7 @@
 
     /// Removes unused state, so that the memory of a long-running process stays bounded.
     pub(super) fn sweep(&mut self) {
-        let (now, keep) = (self.now, self.settings.keep);
+        let (now, keep) = (self.now, self.settings.min_idle_keep);
         self.schedule(now + keep + 4.0 * (self.timer_period() + self.settings.tick), ScheduledTask::Sweep);
         self.workers.retain(|_, worker| !worker.gone || worker.in_flight > 0);
         for (model_id, model) in &mut self.models {
@@ -101,7 +101,7 @@
     /// Forgets models until `bytes` bytes are freed: those never loaded first, then the least recently
     /// used. Models with calls waiting or in flight or loads under way are kept. Returns the number of
     /// bytes freed.
-    pub fn forget(&mut self, bytes: usize) -> usize {
+    pub fn evict_state(&mut self, bytes: usize) -> usize {
         let (mut idle, mut freed) = (Vec::new(), 0);
         for (model_id, model) in &self.models {
             let busy = |worker_id, entry: &CopyEntry| {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -73,7 +73,7 @@
         Settings {
             zone: position(&zones, setup["myZone"].as_str().unwrap_or_default()).unwrap_or(0),
             tick: number("", "periodMs", 1.0),
-            front_ends: number("", "balancers", 1.0).clamp(1.0, 1e6) as u32,
+            invokers: number("", "balancers", 1.0).clamp(1.0, 1e6) as u32,
             classes: list("classes").iter().map(class).collect(),
             tenants: list("customers")
                 .iter()
@@ -92,25 +92,25 @@
             retry_after: flag("ceilings", "retryAfter"),
             max_retry_after: number("ceilings", "maxRetryAfterMs", 0.0),
             roster_on_request: setup["registryMode"].as_str() == Some("on_request"),
-            ask_within: number("safety", "askWithinMs", 10000.0),
+            roster_max_age: number("safety", "askWithinMs", 10000.0),
             drain_grace: number("safety", "drainGraceMs", 0.0),
             cold_from: number("safety", "coldFrom", 0.0),
             cold_span: number("safety", "coldMs", 0.0),
-            fall_multiple: number("safety", "fallMultiple", 1.0),
-            fall_span: number("safety", "fallMs", 0.0),
-            lacking: match setup["specifics"]["notLoaded"].as_str() {
-                Some("load") => Lacking::Loads,
-                _ => Lacking::Misses,
+            overload_multiple: number("safety", "fallMultiple", 1.0),
+            overload_span: number("safety", "fallMs", 0.0),
+            on_missing_model: match setup["specifics"]["notLoaded"].as_str() {
+                Some("load") => MissingModelBehavior::Loads,
+                _ => MissingModelBehavior::Misses,
             },
-            orders: flag("specifics", "placementCalls"),
-            keep: number("specifics", "keepMs", 0.0),
-            load_free: number("specifics", "loadFloor", 0.0),
-            load_share: number("specifics", "loadPart", 0.0),
+            load_orders_allowed: flag("specifics", "placementCalls"),
+            min_idle_keep: number("specifics", "keepMs", 0.0),
+            load_quota_base: number("specifics", "loadFloor", 0.0),
+            load_quota_per_request: number("specifics", "loadPart", 0.0),
             load_window: number("specifics", "loadSpanMs", 0.0),
             order_lag: Some(number("ceilings", "connectTimeoutMs", 0.0))
                 .filter(|ms| *ms > 0.0)
                 .unwrap_or(250.0),
-            tells_warm: flag("specifics", "saysWarm"),
+            reports_warmth: flag("specifics", "saysWarm"),
             price_cross: number("prices", "crossZone", 0.0),
             price_probe: number("prices", "probe", 0.0),
             price_fetch: number("prices", "origin", 0.0),
--- a/src/state.rs
+++ b/src/state.rs
@@ -109,7 +109,7 @@
     pub ready: bool,
     pub gone: bool,
     pub weight: f64,
-    pub born: Ms,
+    pub started_at: Ms,
     /// When a connection attempt to it last failed, and when a connection was last reset.
     pub connect_failed_at: Ms,
     pub reset_at: Ms,
@@ -278,18 +278,18 @@
 
 /// Sizes of a dispatcher's tables.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Tables {
+pub struct TableSizes {
     /// Number of models.
     pub models: usize,
     /// Number of workers.
     pub workers: usize,
     /// Number of entries for (model, worker) pairs.
-    pub lines: usize,
+    pub entries: usize,
     /// Memory of all tables and scheduled tasks, in bytes.
     pub bytes: usize,
 }
 
-impl Tables {
+impl TableSizes {
     /// Memory of a ready worker without entries for models, with `classes` classes of calls, in bytes.
     pub fn worker_cost(classes: usize) -> usize {
         let health = classes.max(1) * std::mem::size_of::<Health>();
@@ -302,10 +302,10 @@
         fleet: &Fleet,
         planned: usize,
     ) -> Self {
-        Tables {
+        TableSizes {
             models: models.len(),
             workers: workers.len(),
-            lines: models.values().map(|model| model.entries.len()).sum(),
+            entries: models.values().map(|model| model.entries.len()).sum(),
             bytes: models.values().map(Model::bytes).sum::<usize>()
                 + workers.values().map(Worker::bytes).sum::<usize>()
                 + fleet.bytes()
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -8,9 +8,9 @@
 /// whether a copy was loaded.
 fn large_fleet_settings(price_probe: f64) -> Settings {
     Settings {
-        lacking: Lacking::Misses,
+        on_missing_model: MissingModelBehavior::Misses,
         max_attempts: 5,
-        tells_warm: false,
+        reports_warmth: false,
         price_probe,
         price_fetch: 0.03,
         kind_memory: vec![1e6],
@@ -68,9 +68,9 @@
 fn fleet_after_restarts(set: &Settings, age: Ms) -> Fleet {
     let mut fleet = Fleet::new(set, 60, 24, 3);
     fleet.now += age;
-    let born = fleet.now - age;
+    let started_at = fleet.now - age;
     let restarted: Vec<_> =
-        (0..12).map(|worker| RosterEntry { born, ..entry(worker, worker as usize % 3) }).collect();
+        (0..12).map(|worker| RosterEntry { started_at, ..entry(worker, worker as usize % 3) }).collect();
     fleet.announce(&restarted);
     for call in 0..3600u64 {
         // Other models are called in each second.
@@ -109,21 +109,28 @@
             let count =
                 |totals: &std::collections::BTreeMap<u32, usize>| totals.get(&worker).copied().unwrap_or(0);
             let sent = (count(&fleet.totals.sent_to) - count(&before)) as f64;
-            assert!(sent < set.fall_multiple * warmth * even_share, "{sent} to {worker} in window {window}");
+            assert!(
+                sent < set.overload_multiple * warmth * even_share,
+                "{sent} to {worker} in window {window}"
+            );
         }
         before = fleet.totals.sent_to.clone();
     }
 }
 
 /// Guards against overload of cold workers while the whole fleet is overloaded: their allowance must follow
-/// from the calls served rather than taken, and must be counted over `fall_span` rather than the averaging
+/// from the calls served rather than taken, and must be counted over `overload_span` rather than the averaging
 /// time.
 #[test]
 fn a_cold_worker_is_not_overloaded_while_the_fleet_is() {
     let (work, workers, invokers) = (50.0, 8u32, 4);
     for demand in [0.8, 1.5, 2.5] {
-        let set =
-            Settings { cold_from: 0.25, cold_span: 17000.0, fall_span: 3000.0, ..large_fleet_settings(0.08) };
+        let set = Settings {
+            cold_from: 0.25,
+            cold_span: 17000.0,
+            overload_span: 3000.0,
+            ..large_fleet_settings(0.08)
+        };
         let mut fleet = Fleet::new(&set, invokers, workers, 1);
         (0..workers).for_each(|worker| fleet.worker(worker).service_ms = work);
         let gap = work / f64::from(workers) / demand;
@@ -132,22 +139,25 @@
             fleet.call(call as f64 * gap, invoker, call, 0, call * call % 97 + 1, 2000.0);
         }
         fleet.run(12_000.0);
-        let born = fleet.now;
+        let started_at = fleet.now;
         for worker in 0..2 {
             *fleet.worker(worker) = fleet::EmulatedWorker {
                 service_ms: work / set.cold_from,
                 ..fleet::EmulatedWorker::default()
             };
         }
-        fleet.announce(&[RosterEntry { born, ..entry(0, 0) }, RosterEntry { born, ..entry(1, 0) }]);
+        fleet.announce(&[
+            RosterEntry { started_at, ..entry(0, 0) },
+            RosterEntry { started_at, ..entry(1, 0) },
+        ]);
         for window in 1..4 {
             let before = fleet.totals.sent_to.clone();
-            fleet.run(set.fall_span);
-            let age = f64::from(window) * set.fall_span / set.cold_span;
+            fleet.run(set.overload_span);
+            let age = f64::from(window) * set.overload_span / set.cold_span;
             let warmth = set.cold_from + (1.0 - set.cold_from) * age;
             for worker in 0..2 {
                 let sent = fleet.totals.sent_to[&worker] - before[&worker];
-                let overload_limit = set.fall_multiple * warmth * set.fall_span / work;
+                let overload_limit = set.overload_multiple * warmth * set.overload_span / work;
                 assert!(
                     (sent as f64) < overload_limit,
                     "{sent} to {worker} in window {window}, limit {overload_limit}, demand {demand}"
@@ -165,12 +175,12 @@
 /// overloaded.
 #[test]
 fn a_call_not_admitted_at_one_cold_worker_may_go_to_another() {
-    let set = Settings { front_ends: 6, ..large_fleet_settings(0.08) };
+    let set = Settings { invokers: 6, ..large_fleet_settings(0.08) };
     let mut fleet = Fleet::new(&set, 6, 12, 3);
     fleet.now += 60_000.0;
-    let born = fleet.now;
+    let started_at = fleet.now;
     let restarted: Vec<_> =
-        (0..12).map(|worker| RosterEntry { born, ..entry(worker, worker as usize % 3) }).collect();
+        (0..12).map(|worker| RosterEntry { started_at, ..entry(worker, worker as usize % 3) }).collect();
     fleet.announce(&restarted);
     for call in 0..1000u64 {
         fleet.call(call as f64 * 4.0, (call % 6) as usize, call, 0, call * call % 7 + 1, 3000.0);
@@ -180,7 +190,7 @@
         (0..12).map(|worker| fleet.totals.sent_to.get(&worker).copied().unwrap_or(0)).collect();
     assert!(sent.iter().all(|sent| *sent >= 8), "every worker is used: {sent:?}");
     // Calls in four seconds (1000) over 12 workers, at the lowest capacity of a cold worker.
-    let allowed = set.fall_multiple * set.cold_from * 1000.0 / 12.0;
+    let allowed = set.overload_multiple * set.cold_from * 1000.0 / 12.0;
     assert!(
         sent.iter().all(|sent| (*sent as f64) <= allowed),
         "no worker is overloaded: {sent:?}, {allowed}"
--- a/tests/footprint.rs
+++ b/tests/footprint.rs
@@ -13,7 +13,7 @@
 #[test]
 fn reported_bytes_match_the_heap() {
     let mut invoker = Invoker::new(settings(), (0..12).map(|number| entry(number, 0)).collect());
-    let (region, before) = (Region::new(HEAP), invoker.dispatcher.remembered().bytes);
+    let (region, before) = (Region::new(HEAP), invoker.dispatcher.table_sizes().bytes);
     for id in 1..=4000 {
         for action in invoker.request(call(id, 0, id.wrapping_mul(0x9e37_79b9) % (1 << 40), 1e9)) {
             if let Action::Send { worker, .. } = action {
@@ -21,7 +21,7 @@
             }
         }
     }
-    let reported = invoker.dispatcher.remembered();
+    let reported = invoker.dispatcher.table_sizes();
     let allocated = region.change();
     let allocated = allocated.bytes_allocated - allocated.bytes_deallocated;
     let ratio = (reported.bytes - before) as f64 / allocated as f64;
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -74,7 +74,7 @@
         let mut dispatcher = Dispatcher::new(settings(), seed);
         let mut actions = Vec::new();
         let list = (0..6).map(|number| entry(number, 0)).collect();
-        dispatcher.handle(1.0, Event::Roster(Roster::Whole(list)), &mut actions);
+        dispatcher.handle(1.0, Event::Roster(RosterUpdate::Complete(list)), &mut actions);
         dispatcher.handle(1.0, Event::Request(call(1, 0, 5, 9000.0)), &mut actions);
         for worker in queries(&actions.clone()) {
             let (worker, model, outcome) = (WorkerId(worker), ModelId(5), Outcome::Ok);
@@ -98,7 +98,7 @@
     for seed in 0..400 {
         let mut invoker = Invoker::new(settings(), vec![entry(0, 0)]);
         invoker.dispatcher = Dispatcher::new(settings(), seed);
-        invoker.handle_event(Event::Roster(Roster::Whole(vec![entry(0, 0)])));
+        invoker.handle_event(Event::Roster(RosterUpdate::Complete(vec![entry(0, 0)])));
         let serve = |invoker: &mut Invoker, id: u64, model: u64, memory: f64| {
             let mut actions = invoker.request(Request { memory, ..call(id, 0, model, 90000.0) });
             for _ in 0..3 {
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -30,7 +30,7 @@
 #[test]
 fn each_request_ends_before_its_own_time_is_up() {
     for entries in
-        [vec![], vec![RosterEntry { standing: Standing::Draining, ..entry(0, 0) }], vec![entry(0, 0)]]
+        [vec![], vec![RosterEntry { state: WorkerState::Draining, ..entry(0, 0) }], vec![entry(0, 0)]]
     {
         let mut invoker = Invoker::new(settings(), entries);
         let mut actions = invoker.request(call(1, 0, 5, invoker.now + 300.0));
@@ -55,7 +55,7 @@
             outcome: Outcome::Ok,
             took: 1.0,
             warmth: Warmth::Warm,
-            crowd: None,
+            concurrent_calls: None,
             report: None,
         }));
     }
@@ -116,8 +116,8 @@
         let mut invoker = Invoker::new(keyed(group), entries);
         let at = deliver(&mut invoker, call(1, 0, 5, 60000.0));
         assert_eq!(at, 0);
-        invoker.handle_event(Event::Roster(Roster::Changes(vec![RosterEntry {
-            standing: Standing::Gone,
+        invoker.handle_event(Event::Roster(RosterUpdate::Changes(vec![RosterEntry {
+            state: WorkerState::Removed,
             ..entry(0, 0)
         }])));
         let mut actions = invoker.finish(1, 0, 0, Outcome::Reset);
@@ -139,8 +139,8 @@
     let mut invoker = Invoker::new(settings(), vec![entry(0, 0), entry(1, 0)]);
     let at = deliver(&mut invoker, call(1, 0, 5, 90000.0));
     invoker.finish(1, 0, at, Outcome::Ok);
-    invoker.handle_event(Event::Roster(Roster::Changes(vec![RosterEntry {
-        standing: Standing::Draining,
+    invoker.handle_event(Event::Roster(RosterUpdate::Changes(vec![RosterEntry {
+        state: WorkerState::Draining,
         ..entry(at, 0)
     }])));
     assert_ne!(deliver(&mut invoker, call(2, 0, 5, 90000.0)), at);
@@ -156,8 +156,9 @@
             invoker.finish(model * 10 + id + 1, 0, at, Outcome::Ok);
         }
     }
-    let born = invoker.now;
-    invoker.handle_event(Event::Roster(Roster::Changes(vec![RosterEntry { born, ..entry(2, 0) }])));
+    let started_at = invoker.now;
+    invoker
+        .handle_event(Event::Roster(RosterUpdate::Changes(vec![RosterEntry { started_at, ..entry(2, 0) }])));
     let mut counts = [0; 4];
     for id in 1000..1400 {
         let at = deliver(&mut invoker, call(id, 0, id % 8, 900_000.0));
@@ -178,9 +179,12 @@
         let list = || (0..10).map(|worker| entry(worker, 0)).collect::<Vec<_>>();
         let mut invoker = Invoker::new(settings(), list());
         invoker.dispatcher = Dispatcher::new(settings(), seed);
-        invoker.handle_event(Event::Roster(Roster::Whole(list())));
-        let born = invoker.now;
-        invoker.handle_event(Event::Roster(Roster::Changes(vec![RosterEntry { born, ..entry(2, 0) }])));
+        invoker.handle_event(Event::Roster(RosterUpdate::Complete(list())));
+        let started_at = invoker.now;
+        invoker.handle_event(Event::Roster(RosterUpdate::Changes(vec![RosterEntry {
+            started_at,
+            ..entry(2, 0)
+        }])));
         let mut used = false;
         for id in 1..=40 {
             invoker.now += 100.0;
@@ -196,8 +200,8 @@
 /// get exactly one call soon, in any zone, unless there are many invokers.
 #[test]
 fn a_worker_that_comes_back_gets_one_call_although_copies_exist_elsewhere() {
-    for (front_ends, expected_calls) in [(3, 1), (100, 0)] {
-        let set = Settings { front_ends, lacking: Lacking::Misses, ..settings() };
+    for (invokers, expected_calls) in [(3, 1), (100, 0)] {
+        let set = Settings { invokers, on_missing_model: MissingModelBehavior::Misses, ..settings() };
         let mut invoker = Invoker::new(set, vec![entry(0, 0), entry(1, 1)]);
         let serve = |invoker: &mut Invoker, id: u64| {
             invoker.now += 10.0;
@@ -206,13 +210,16 @@
             at
         };
         (1..10).for_each(|id| assert_eq!(serve(&mut invoker, id), 0, "the copy in the own zone is used"));
-        let draining = RosterEntry { standing: Standing::Draining, ..entry(1, 1) };
-        invoker.handle_event(Event::Roster(Roster::Changes(vec![draining])));
+        let draining = RosterEntry { state: WorkerState::Draining, ..entry(1, 1) };
+        invoker.handle_event(Event::Roster(RosterUpdate::Changes(vec![draining])));
         invoker.now += 3000.0;
-        let born = invoker.now;
-        invoker.handle_event(Event::Roster(Roster::Changes(vec![RosterEntry { born, ..entry(1, 1) }])));
+        let started_at = invoker.now;
+        invoker.handle_event(Event::Roster(RosterUpdate::Changes(vec![RosterEntry {
+            started_at,
+            ..entry(1, 1)
+        }])));
         let calls = (10..30).filter(|id| serve(&mut invoker, *id) == 1).count();
-        assert_eq!(calls, expected_calls, "{front_ends} invokers");
+        assert_eq!(calls, expected_calls, "{invokers} invokers");
     }
 }
 
@@ -221,13 +228,15 @@
     let (mut cold, mut all) = (0, 0);
     for number in 0..invokers {
         let mut list: Vec<_> = (0..10).map(|worker| entry(worker, 0)).collect();
-        list[2].born = 900.0;
-        let settings = Settings { front_ends: invokers as u32, ..settings() };
+        list[2].started_at = 900.0;
+        let settings = Settings { invokers: invokers as u32, ..settings() };
         let mut invoker = Invoker::new(settings.clone(), list);
         invoker.dispatcher = Dispatcher::new(settings, number);
-        let list = (0..10)
-            .map(|worker| RosterEntry { born: if worker == 2 { 900.0 } else { 0.0 }, ..entry(worker, 0) });
-        invoker.handle_event(Event::Roster(Roster::Whole(list.collect())));
+        let list = (0..10).map(|worker| RosterEntry {
+            started_at: if worker == 2 { 900.0 } else { 0.0 },
+            ..entry(worker, 0)
+        });
+        invoker.handle_event(Event::Roster(RosterUpdate::Complete(list.collect())));
         let calls = calls_of(number);
         for id in 1..=calls {
             invoker.now = 1000.0 + 1500.0 * id as f64 / calls as f64;
@@ -275,7 +284,8 @@
 
 #[test]
 fn load_orders_keep_within_the_quota() {
-    let limited = Settings { load_window: 5000.0, load_free: 2.0, load_share: 0.1, ..settings() };
+    let limited =
+        Settings { load_window: 5000.0, load_quota_base: 2.0, load_quota_per_request: 0.1, ..settings() };
     let mut invoker = Invoker::new(limited, (0..4).map(|number| entry(number, 0)).collect());
     let mut orders = 0;
     for id in 1..31 {
@@ -290,7 +300,8 @@
 /// may add to the quota.
 #[test]
 fn repeats_and_made_up_models_add_nothing_to_the_load_quota() {
-    let limited = Settings { load_window: 5000.0, load_free: 2.0, load_share: 0.5, ..settings() };
+    let limited =
+        Settings { load_window: 5000.0, load_quota_base: 2.0, load_quota_per_request: 0.5, ..settings() };
     let mut invoker = Invoker::new(limited, (0..4).map(|number| entry(number, 0)).collect());
     let mut orders = |id, model| ordered(&mut invoker, call(id, 0, model, 900_000.0));
     let mut sum = orders(1, 1);
@@ -316,8 +327,13 @@
 fn delayed_load_orders_keep_within_the_quota() {
     for seed in 0..40 {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let set =
-            Settings { load_window: 3000.0, load_free: 3.0, load_share: 0.2, order_lag: 250.0, ..settings() };
+        let set = Settings {
+            load_window: 3000.0,
+            load_quota_base: 3.0,
+            load_quota_per_request: 0.2,
+            order_lag: 250.0,
+            ..settings()
+        };
         let mut invoker = Invoker::new(set.clone(), (0..12).map(|number| entry(number, 0)).collect());
         let (mut taken, mut arrived): (Vec<Ms>, Vec<Ms>) = (Vec::new(), Vec::new());
         for id in 1..2000 {
@@ -346,9 +362,11 @@
 
 #[test]
 fn no_load_is_ordered_where_orders_are_not_allowed() {
-    for lacking in [Lacking::Misses, Lacking::Loads] {
-        let mut invoker =
-            Invoker::new(Settings { orders: false, lacking, ..settings() }, vec![entry(0, 0), entry(1, 0)]);
+    for lacking in [MissingModelBehavior::Misses, MissingModelBehavior::Loads] {
+        let mut invoker = Invoker::new(
+            Settings { load_orders_allowed: false, on_missing_model: lacking, ..settings() },
+            vec![entry(0, 0), entry(1, 0)],
+        );
         let mut actions = invoker.request(call(1, 0, 5, 9000.0));
         assert_eq!(sends(&actions).len(), 1);
         let at = sends(&actions)[0].1;
@@ -373,11 +391,15 @@
     Settings {
         classes: EFFECTS.iter().map(|effect| class(*effect, 1.0)).collect(),
         cancel: rng.random_bool(0.5),
-        orders: rng.random_bool(0.8),
-        lacking: if rng.random_bool(0.5) { Lacking::Misses } else { Lacking::Loads },
+        load_orders_allowed: rng.random_bool(0.8),
+        on_missing_model: if rng.random_bool(0.5) {
+            MissingModelBehavior::Misses
+        } else {
+            MissingModelBehavior::Loads
+        },
         load_window: if rng.random_bool(0.5) { 3000.0 } else { 0.0 },
-        load_free: 3.0,
-        load_share: 0.2,
+        load_quota_base: 3.0,
+        load_quota_per_request: 0.2,
         ..settings()
     }
 }
@@ -397,24 +419,28 @@
                 cancel: allow.0,
                 second_copies: allow.1,
                 retry_after: allow.2,
-                tells_warm: allow.3,
+                reports_warmth: allow.3,
                 max_attempts: allow.4,
-                orders: family.0,
-                lacking: if family.1 { Lacking::Loads } else { Lacking::Misses },
-                load_free: family.2.floor(),
-                load_share: family.3,
+                load_orders_allowed: family.0,
+                on_missing_model: if family.1 {
+                    MissingModelBehavior::Loads
+                } else {
+                    MissingModelBehavior::Misses
+                },
+                load_quota_base: family.2.floor(),
+                load_quota_per_request: family.3,
                 load_window: if family.4 < 2000.0 { 0.0 } else { family.4 },
-                keep: family.5,
+                min_idle_keep: family.5,
                 cold_from: start.0,
                 cold_span: start.1,
-                fall_multiple: start.2,
-                fall_span: start.3,
+                overload_multiple: start.2,
+                overload_span: start.3,
                 order_lag: start.4,
                 price_cross: prices.0,
                 price_probe: prices.1,
                 price_fetch: prices.2,
                 worth_by_work: prices.3,
-                front_ends: prices.4,
+                invokers: prices.4,
                 ..settings()
             };
             (set, zones, seed)
@@ -426,8 +452,8 @@
 /// taken.
 fn run_random_events(seed: u64, set: Settings, zones: u32) -> (usize, usize) {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let (cancel, orders, max) = (set.cancel, set.orders, set.max_attempts as usize);
-    let (window, free, share) = (set.load_window, set.load_free, set.load_share);
+    let (cancel, orders, max) = (set.cancel, set.load_orders_allowed, set.max_attempts as usize);
+    let (window, free, share) = (set.load_window, set.load_quota_base, set.load_quota_per_request);
     let mut invoker = Invoker::new(set, vec![]);
     let zone = |worker: u32| (worker % zones) as usize;
     let mut ready: BTreeMap<u32, bool> = BTreeMap::new();
@@ -441,13 +467,14 @@
         let event = match rng.random_range(0..10) {
             0 if step < 20 || rng.random_bool(0.1) => {
                 let number = rng.random_range(0..7);
-                let standing = [Standing::Ready, Standing::Ready, Standing::Draining, Standing::Gone]
-                    [rng.random_range(0..4)];
-                ready.insert(number, standing == Standing::Ready);
+                let state =
+                    [WorkerState::Ready, WorkerState::Ready, WorkerState::Draining, WorkerState::Removed]
+                        [rng.random_range(0..4)];
+                ready.insert(number, state == WorkerState::Ready);
                 // One in four has just started.
-                let born = if rng.random_bool(0.25) { invoker.now } else { 0.0 };
-                let entry_update = RosterEntry { standing, born, ..entry(number, zone(number)) };
-                Event::Roster(Roster::Changes(vec![entry_update]))
+                let started_at = if rng.random_bool(0.25) { invoker.now } else { 0.0 };
+                let entry_update = RosterEntry { state, started_at, ..entry(number, zone(number)) };
+                Event::Roster(RosterUpdate::Changes(vec![entry_update]))
             }
             1..=3 if !drain => {
                 let expires = invoker.now + 20.0 + rng.random::<f64>() * 1500.0;
@@ -497,8 +524,8 @@
                         closed,
                         outcome,
                         took: rng.random::<f64>() * 400.0,
-                        warmth: Warmth::Untold,
-                        crowd: rng.random_bool(0.5).then_some(3),
+                        warmth: Warmth::Unknown,
+                        concurrent_calls: rng.random_bool(0.5).then_some(3),
                         report: rng.random_bool(0.5).then(|| Report {
                             inflight: Some(rng.random_range(0.0..20.0)),
                             pinned: Some(rng.random::<f64>()),
@@ -581,13 +608,18 @@
     }
 }
 
-/// Guards against a call that draws for a cold worker without end: with a `fall_span` of 0, a lost draw was
+/// Guards against a call that draws for a cold worker without end: with a `overload_span` of 0, a lost draw was
 /// forgotten at once.
 #[test]
 fn a_lost_draw_counts_even_if_fall_span_is_zero() {
-    let set = Settings { fall_span: 0.0, front_ends: 200, lacking: Lacking::Misses, ..settings() };
-    let born = 1000.0;
-    let mut invoker = Invoker::new(set, vec![RosterEntry { born, ..entry(0, 0) }]);
+    let set = Settings {
+        overload_span: 0.0,
+        invokers: 200,
+        on_missing_model: MissingModelBehavior::Misses,
+        ..settings()
+    };
+    let started_at = 1000.0;
+    let mut invoker = Invoker::new(set, vec![RosterEntry { started_at, ..entry(0, 0) }]);
     for id in 1..20 {
         invoker.request(call(id, 0, id, invoker.now + 300.0));
     }
--- a/tests/support/fleet.rs
+++ b/tests/support/fleet.rs
@@ -63,7 +63,7 @@
     /// Creates invokers and workers, spread evenly over the zones; all invokers get the roster.
     pub fn new(settings: &Settings, invokers: usize, workers: u32, zones: usize) -> Fleet {
         let invoker = |number: usize| {
-            let own = Settings { zone: number % zones, front_ends: invokers as u32, ..settings.clone() };
+            let own = Settings { zone: number % zones, invokers: invokers as u32, ..settings.clone() };
             Dispatcher::new(own, 100 + number as u64)
         };
         let list: Vec<RosterEntry> =
@@ -82,7 +82,7 @@
             attempts: BTreeMap::new(),
         };
         for number in 0..invokers {
-            fleet.schedule(0.0, number, Event::Roster(Roster::Remembered(list.clone())));
+            fleet.schedule(0.0, number, Event::Roster(RosterUpdate::Stored(list.clone())));
         }
         fleet
     }
@@ -93,7 +93,7 @@
             self.workers.entry(entry.worker.0).or_insert_with(|| (entry.zone, EmulatedWorker::default()));
         }
         for number in 0..self.invokers.len() {
-            self.schedule(0.0, number, Event::Roster(Roster::Changes(entries.to_vec())));
+            self.schedule(0.0, number, Event::Roster(RosterUpdate::Changes(entries.to_vec())));
         }
     }
 
@@ -171,8 +171,18 @@
         *self.totals.served_at.entry(worker.0).or_default() += usize::from(closed);
         self.totals.missed += usize::from(outcome == Outcome::Miss);
         self.totals.errors += usize::from(outcome == Outcome::Error);
-        let (warmth, crowd, report) = (Warmth::Untold, None, None);
-        let end = Finished { id, attempt: number, worker, closed, outcome, took, warmth, crowd, report };
+        let (warmth, crowd, report) = (Warmth::Unknown, None, None);
+        let end = Finished {
+            id,
+            attempt: number,
+            worker,
+            closed,
+            outcome,
+            took,
+            warmth,
+            concurrent_calls: crowd,
+            report,
+        };
         self.schedule(took, invoker, Event::Finished(end));
     }
 
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -12,7 +12,7 @@
     Settings {
         zone: 0,
         tick: 2.0,
-        front_ends: 3,
+        invokers: 3,
         classes: vec![class(Effect::Repeatable, 1.0), class(Effect::Unsafe, 3.0)],
         tenants: vec![],
         over_share_worth: 0.2,
@@ -25,20 +25,20 @@
         retry_after: false,
         max_retry_after: 500.0,
         roster_on_request: false,
-        ask_within: 10000.0,
+        roster_max_age: 10000.0,
         drain_grace: 250.0,
         cold_from: 0.2,
         cold_span: 10000.0,
-        fall_multiple: 2.0,
-        fall_span: 1500.0,
-        lacking: Lacking::Loads,
-        orders: true,
-        keep: 8000.0,
-        load_free: 0.0,
-        load_share: 0.0,
+        overload_multiple: 2.0,
+        overload_span: 1500.0,
+        on_missing_model: MissingModelBehavior::Loads,
+        load_orders_allowed: true,
+        min_idle_keep: 8000.0,
+        load_quota_base: 0.0,
+        load_quota_per_request: 0.0,
         load_window: 0.0,
         order_lag: 0.0,
-        tells_warm: true,
+        reports_warmth: true,
         price_cross: 0.04,
         price_probe: 0.01,
         price_fetch: 0.1,
@@ -52,9 +52,9 @@
         zone,
         kind: 0,
         cell: zone as i64,
-        standing: Standing::Ready,
+        state: WorkerState::Ready,
         weight: 1.0,
-        born: 0.0,
+        started_at: 0.0,
     }
 }
 
@@ -79,7 +79,7 @@
 impl Invoker {
     pub fn new(settings: Settings, entries: Vec<RosterEntry>) -> Invoker {
         let mut invoker = Invoker { dispatcher: Dispatcher::new(settings, 7), now: 1000.0 };
-        invoker.handle_event(Event::Roster(Roster::Remembered(entries)));
+        invoker.handle_event(Event::Roster(RosterUpdate::Stored(entries)));
         invoker
     }
 
@@ -112,7 +112,7 @@
             outcome,
             took: 100.0,
             warmth: Warmth::Warm,
-            crowd: Some(0),
+            concurrent_calls: Some(0),
             report: None,
         }))
     }
--- a/tests/troubles.rs
+++ b/tests/troubles.rs
@@ -220,11 +220,11 @@
     invoker.handle_event(Event::Withdrawn { id: RequestId(5) });
     invoker.handle_event(Event::Started { id: RequestId(5) });
     invoker.handle_event(Event::Timer { token: u64::MAX });
-    invoker.handle_event(Event::Roster(Roster::Refused));
-    invoker.handle_event(Event::Roster(Roster::Changes(vec![RosterEntry {
+    invoker.handle_event(Event::Roster(RosterUpdate::Refused));
+    invoker.handle_event(Event::Roster(RosterUpdate::Changes(vec![RosterEntry {
         kind: usize::MAX,
         weight: -1.0,
-        born: 1e300,
+        started_at: 1e300,
         ..entry(3, 9)
     }])));
     let odd = Request { memory: -5.0, lanes: 0.0, load_hint: Some(0.0), ..call(1, 0, 5, 0.0) };
@@ -236,7 +236,7 @@
     invoker.now = f64::NAN;
     let actions = invoker.request(Request { id: RequestId(3), expires: f64::INFINITY, ..odd.clone() });
     assert!(ended(&actions).is_empty());
-    let empty = Settings { classes: vec![], keep: 0.0, kind_memory: vec![], ..settings() };
+    let empty = Settings { classes: vec![], min_idle_keep: 0.0, kind_memory: vec![], ..settings() };
     let mut invoker = Invoker::new(empty, vec![entry(0, 0)]);
     assert_eq!(ended(&invoker.request(odd)), vec![(1, true)]);
 }
@@ -245,7 +245,7 @@
 fn a_roster_that_must_be_asked_for_is_asked_for() {
     let set = Settings { roster_on_request: true, ..settings() };
     let mut actions = Vec::new();
-    Dispatcher::new(set, 1).handle(5.0, Event::Roster(Roster::Refused), &mut actions);
+    Dispatcher::new(set, 1).handle(5.0, Event::Roster(RosterUpdate::Refused), &mut actions);
     assert!(actions.contains(&Action::Subscribe));
 }
 
@@ -453,7 +453,7 @@
 fn a_model_that_no_worker_knows_is_refused_at_once_and_slows_no_loads() {
     // Models that no worker knows were ordered again and again; the errors reduced the limit on all
     // concurrent loads to one and made workers seem unhealthy (seen in runs with bad clients).
-    let settings = Settings { lacking: Lacking::Misses, ..settings() };
+    let settings = Settings { on_missing_model: MissingModelBehavior::Misses, ..settings() };
     let mut invoker =
         Invoker::new(settings, (0..6).map(|number| entry(number, number as usize % 3)).collect());
     for id in 1..30 {
@@ -502,7 +502,7 @@
     assert_eq!(orders.len(), 2, "{orders:?}");
     // Unknown model names don't accumulate.
     invoker.wait(60000.0);
-    assert!(invoker.dispatcher.remembered().models <= 3, "{:?}", invoker.dispatcher.remembered());
+    assert!(invoker.dispatcher.table_sizes().models <= 3, "{:?}", invoker.dispatcher.table_sizes());
 }
 
 #[test]
@@ -511,17 +511,17 @@
     let mut invoker = Invoker::new(settings(), vec![]);
     for number in 0..600u32 {
         let list = (0..3).map(|back| RosterEntry {
-            standing: if back == 2 { Standing::Gone } else { Standing::Ready },
+            state: if back == 2 { WorkerState::Removed } else { WorkerState::Ready },
             ..entry((number + 2).saturating_sub(back), 0)
         });
-        invoker.handle_event(Event::Roster(Roster::Changes(list.collect())));
+        invoker.handle_event(Event::Roster(RosterUpdate::Changes(list.collect())));
         let id = u64::from(number) + 1;
         let at = load_and_send(&mut invoker, id, 0, id);
         invoker.finish(id, 0, at, Outcome::Ok);
         invoker.wait(1000.0);
     }
-    let tables = invoker.dispatcher.remembered();
-    assert!(tables.models < 60 && tables.workers < 20 && tables.lines < 100, "{tables:?}");
+    let tables = invoker.dispatcher.table_sizes();
+    assert!(tables.models < 60 && tables.workers < 20 && tables.entries < 100, "{tables:?}");
     assert!(tables.bytes < 60_000, "{tables:?}");
 }
 
@@ -538,24 +538,24 @@
     };
     (1..=3).for_each(|id| standing(&mut invoker, id));
     let made_up = 10;
-    let known = |invoker: &Invoker, model: u64| invoker.dispatcher.adds(ModelId(model)) == 0;
+    let known = |invoker: &Invoker, model: u64| invoker.dispatcher.model_cost_bytes(ModelId(model)) == 0;
     invoker.request(call(made_up, 0, made_up, 1e6));
     invoker.handle_event(Event::Withdrawn { id: RequestId(made_up) });
     invoker.wait(50.0);
     load_and_send(&mut invoker, 11, 0, 11);
     assert!([1, 2, 3, made_up, 11].into_iter().all(|model| known(&invoker, model)));
-    let before = invoker.dispatcher.remembered();
-    let freed = invoker.dispatcher.forget(1);
+    let before = invoker.dispatcher.table_sizes();
+    let freed = invoker.dispatcher.evict_state(1);
     assert!(
         freed > 0 && !known(&invoker, made_up) && known(&invoker, 1),
         "models never loaded are forgotten first"
     );
-    assert_eq!(invoker.dispatcher.remembered().bytes, before.bytes - freed);
-    invoker.dispatcher.forget(1);
+    assert_eq!(invoker.dispatcher.table_sizes().bytes, before.bytes - freed);
+    invoker.dispatcher.evict_state(1);
     assert!(!known(&invoker, 1) && known(&invoker, 2), "then the least recently used");
-    invoker.dispatcher.forget(usize::MAX);
+    invoker.dispatcher.evict_state(usize::MAX);
     assert!(
-        known(&invoker, 11) && invoker.dispatcher.remembered().models == 1,
+        known(&invoker, 11) && invoker.dispatcher.table_sizes().models == 1,
         "a model with a call in flight is kept"
     );
     standing(&mut invoker, 20);
