--- a/crates/duty/src/handover.rs
+++ b/crates/duty/src/handover.rs
@@ -3,9 +3,9 @@
 //! message.
 
 /// Size of a header in bytes: kind (1), unused (3), body length (4), connection number (8); big-endian.
-pub const HEAD: usize = 16;
+pub const HEADER_BYTES: usize = 16;
 /// Longest body in bytes: an answer of 256 KiB with its framing, and room to spare.
-pub const MOST_BODY: usize = 1 << 20;
+pub const MAX_BODY_BYTES: usize = 1 << 20;
 
 /// One handover message.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -15,7 +15,7 @@
         /// Number of the connection.
         number: u64,
         /// Ids of the unanswered requests on it.
-        owed: Vec<i32>,
+        unanswered: Vec<i32>,
     },
     /// The final answer to one of these requests.
     End {
@@ -36,7 +36,7 @@
 
 /// The header of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Head {
+pub struct MessageHeader {
     kind: Kind,
     number: u64,
     length: usize,
@@ -44,7 +44,7 @@
 
 /// Why bytes are not a valid message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum BadMessage {
+pub enum MessageError {
     /// The kind is unknown.
     #[error("unknown message kind {0}")]
     Kind(u8),
@@ -57,8 +57,8 @@
     /// Encodes the message.
     pub fn encode(&self) -> Vec<u8> {
         let (kind, number, body) = match self {
-            Message::Connection { number, owed } => {
-                (Kind::Connection, number, owed.iter().flat_map(|seqid| seqid.to_be_bytes()).collect())
+            Message::Connection { number, unanswered } => {
+                (Kind::Connection, number, unanswered.iter().flat_map(|seqid| seqid.to_be_bytes()).collect())
             }
             Message::End { number, seqid, bytes } => {
                 (Kind::End, number, [&seqid.to_be_bytes()[..], bytes].concat())
@@ -69,20 +69,20 @@
     }
 }
 
-impl Head {
+impl MessageHeader {
     /// Decodes a header.
-    pub fn decode(bytes: &[u8; HEAD]) -> Result<Head, BadMessage> {
+    pub fn decode(bytes: &[u8; HEADER_BYTES]) -> Result<MessageHeader, MessageError> {
         let [kind, _, _, _, a, b, c, d, number @ ..] = *bytes;
         let length = u32::from_be_bytes([a, b, c, d]) as usize;
         let (kind, valid_length) = match kind {
             1 => (Kind::Connection, length.is_multiple_of(4)),
             2 => (Kind::End, length >= 4),
-            unknown => return Err(BadMessage::Kind(unknown)),
+            unknown => return Err(MessageError::Kind(unknown)),
         };
-        if !valid_length || length > MOST_BODY {
-            return Err(BadMessage::Length(length));
+        if !valid_length || length > MAX_BODY_BYTES {
+            return Err(MessageError::Length(length));
         }
-        Ok(Head { kind, number: u64::from_be_bytes(number), length })
+        Ok(MessageHeader { kind, number: u64::from_be_bytes(number), length })
     }
 
     /// Length of the body, in bytes.
@@ -95,7 +95,7 @@
         let mut words =
             body.chunks_exact(4).map(|word| i32::from_be_bytes([word[0], word[1], word[2], word[3]]));
         match self.kind {
-            Kind::Connection => Message::Connection { number: self.number, owed: words.collect() },
+            Kind::Connection => Message::Connection { number: self.number, unanswered: words.collect() },
             Kind::End => {
                 let seqid = words.next().unwrap_or_default();
                 let bytes = body.split_off(body.len().min(4));
--- a/crates/duty/src/host_overrides.rs
+++ b/crates/duty/src/host_overrides.rs
@@ -2,7 +2,7 @@
 use crate::Ms;
 use std::collections::BTreeMap;
 
-/// How long a resume is remembered: longer than any host host_overrides cold (16 s here), and than an upgrade takes.
+/// How long a resume is remembered: longer than any host stays cold (16 s here), and than an upgrade takes.
 const RESUME_KEPT_MS: Ms = 60_000.0;
 
 /// The override of one host.
@@ -16,19 +16,19 @@
 
 /// Suspended and recently resumed hosts, by name. Entries of a worker list do not change these.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Bans {
+pub struct HostOverrides {
     by_name: BTreeMap<String, HostOverride>,
 }
 
-impl Bans {
+impl HostOverrides {
     /// Overrides that were handed over from another process, by host name.
     pub fn from_host_overrides(host_overrides: impl IntoIterator<Item = (String, HostOverride)>) -> Self {
-        Bans { by_name: host_overrides.into_iter().collect() }
+        HostOverrides { by_name: host_overrides.into_iter().collect() }
     }
 
     /// Suspends a host; returns whether it was not suspended before.
     pub fn suspend(&mut self, name: &str, now: Ms) -> bool {
-        if self.is_out(name) {
+        if self.is_suspended(name) {
             return false;
         }
         self.by_name.insert(name.to_string(), HostOverride::Suspended(now));
@@ -39,7 +39,7 @@
     pub fn resume(&mut self, name: &str, now: Ms) -> bool {
         self.by_name
             .retain(|_, entry| !matches!(entry, HostOverride::Resumed(at) if now - *at > RESUME_KEPT_MS));
-        let out = self.is_out(name);
+        let out = self.is_suspended(name);
         if out {
             self.by_name.insert(name.to_string(), HostOverride::Resumed(now));
         }
@@ -47,12 +47,12 @@
     }
 
     /// Whether the host is suspended.
-    pub fn is_out(&self, name: &str) -> bool {
+    pub fn is_suspended(&self, name: &str) -> bool {
         matches!(self.by_name.get(name), Some(HostOverride::Suspended(_)))
     }
 
     /// When the host was resumed, if that was recently, in milliseconds.
-    pub fn back_at(&self, name: &str) -> Option<Ms> {
+    pub fn resumed_at(&self, name: &str) -> Option<Ms> {
         match self.by_name.get(name) {
             Some(HostOverride::Resumed(at)) => Some(*at),
             _ => None,
--- a/crates/duty/src/overrides.rs
+++ b/crates/duty/src/overrides.rs
@@ -1,12 +1,12 @@
 //! The operators' commands in effect, as passed from process to process: one record with a version and a
 //! checksum.
-use crate::{Bans, HostOverride, Ms};
+use crate::{HostOverride, HostOverrides, Ms};
 use serde::{Deserialize, Serialize};
 
 /// First word of the record; ends with the format version.
 const FORMAT_WORD: &str = "corkbay-word-1";
 /// Largest record that is read, in bytes: enough for some thousands of hosts.
-pub const MOST: usize = 1 << 20;
+pub const MAX_RECORD_BYTES: usize = 1 << 20;
 
 /// Clock readings for converting dates that two processes of one machine share, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -42,12 +42,12 @@
     /// The invoker is drained.
     pub drained: bool,
     /// Suspended and recently resumed hosts.
-    pub bans: Bans,
+    pub host_overrides: HostOverrides,
 }
 
 /// Why bytes are not a valid record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum BadRecord {
+pub enum RecordError {
     /// It is empty, truncated, or in another format.
     #[error("the record is truncated or has an unsupported format")]
     Form,
@@ -92,8 +92,10 @@
 impl Overrides {
     /// Encodes the record: the format word, the checksum in hex, a newline, and the record as JSON.
     pub fn encode(&self, clocks: Clocks) -> Vec<u8> {
-        let hosts =
-            self.bans.host_overrides().map(|(name, host_override)| Host::new(name, host_override, clocks));
+        let hosts = self
+            .host_overrides
+            .host_overrides()
+            .map(|(name, host_override)| Host::new(name, host_override, clocks));
         let text = Text { version: self.version, drained: self.drained, hosts: hosts.collect() };
         // Strings, numbers and booleans always serialize.
         let text = serde_json::to_string(&text).unwrap_or_default();
@@ -101,15 +103,17 @@
     }
 
     /// Decodes a record; damage anywhere in it is an error.
-    pub fn decode(bytes: &[u8], clocks: Clocks) -> Result<Overrides, BadRecord> {
-        let text = std::str::from_utf8(bytes).map_err(|_| BadRecord::Form)?;
-        let (head, text) = text.split_once('\n').ok_or(BadRecord::Form)?;
-        let checksum =
-            head.strip_prefix(FORMAT_WORD).and_then(|rest| rest.strip_prefix(' ')).ok_or(BadRecord::Form)?;
+    pub fn decode(bytes: &[u8], clocks: Clocks) -> Result<Overrides, RecordError> {
+        let text = std::str::from_utf8(bytes).map_err(|_| RecordError::Form)?;
+        let (head, text) = text.split_once('\n').ok_or(RecordError::Form)?;
+        let checksum = head
+            .strip_prefix(FORMAT_WORD)
+            .and_then(|rest| rest.strip_prefix(' '))
+            .ok_or(RecordError::Form)?;
         if checksum != format!("{:08x}", crc32fast::hash(text.as_bytes())) {
-            return Err(BadRecord::Check);
+            return Err(RecordError::Check);
         }
-        let text: Text = serde_json::from_str(text).map_err(|_| BadRecord::Form)?;
+        let text: Text = serde_json::from_str(text).map_err(|_| RecordError::Form)?;
         let host_overrides = text.hosts.into_iter().map(|host| {
             let at = clocks.to_process_clock(&host);
             (host.name, if host.out { HostOverride::Suspended(at) } else { HostOverride::Resumed(at) })
@@ -117,14 +121,14 @@
         Ok(Overrides {
             version: text.version,
             drained: text.drained,
-            bans: Bans::from_host_overrides(host_overrides),
+            host_overrides: HostOverrides::from_host_overrides(host_overrides),
         })
     }
 }
 
 /// What to do about the stored record, for a process that may know overrides itself.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Look {
+pub enum RecordAction {
     /// It matches what is known.
     Same,
     /// It is newer: adopt it.
@@ -137,15 +141,18 @@
 }
 
 /// Compares the stored record (`None` if there is none) with the overrides known to this process, if any.
-pub fn look(stored: Option<Result<Overrides, BadRecord>>, known: Option<&Overrides>) -> Look {
+pub fn compare_record(
+    stored: Option<Result<Overrides, RecordError>>,
+    known: Option<&Overrides>,
+) -> RecordAction {
     match (stored, known) {
-        (Some(Ok(overrides)), Some(known)) if overrides.version == known.version => Look::Same,
-        (Some(Ok(overrides)), Some(known)) if overrides.version < known.version => Look::Restore,
-        (Some(Ok(overrides)), _) => Look::Newer(overrides),
-        (None, Some(known)) if known.version == 0 => Look::Same,
-        (None | Some(Err(_)), Some(_)) => Look::Restore,
-        (None, None) => Look::Newer(Overrides::default()),
-        (Some(Err(_)), None) => Look::Wait,
+        (Some(Ok(overrides)), Some(known)) if overrides.version == known.version => RecordAction::Same,
+        (Some(Ok(overrides)), Some(known)) if overrides.version < known.version => RecordAction::Restore,
+        (Some(Ok(overrides)), _) => RecordAction::Newer(overrides),
+        (None, Some(known)) if known.version == 0 => RecordAction::Same,
+        (None | Some(Err(_)), Some(_)) => RecordAction::Restore,
+        (None, None) => RecordAction::Newer(Overrides::default()),
+        (Some(Err(_)), None) => RecordAction::Wait,
     }
 }
 
--- a/crates/duty/src/overrides/tests.rs
+++ b/crates/duty/src/overrides/tests.rs
@@ -13,7 +13,7 @@
     (any::<u64>(), any::<bool>(), host_overrides).prop_map(|(version, drained, host_overrides)| Overrides {
         version,
         drained,
-        bans: Bans::from_host_overrides(host_overrides),
+        host_overrides: HostOverrides::from_host_overrides(host_overrides),
     })
 }
 
@@ -36,40 +36,40 @@
     fn a_failure_lifts_no_suspension(known in overrides(), stored in overrides(), kind in 0..3) {
         let record = match kind {
             0 => None,
-            1 => Some(Err(BadRecord::Check)),
+            1 => Some(Err(RecordError::Check)),
             _ => Some(Ok(stored.clone())),
         };
-        match look(record, Some(&known)) {
-            Look::Newer(overrides) => {
+        match compare_record(record, Some(&known)) {
+            RecordAction::Newer(overrides) => {
                 prop_assert_eq!(kind, 2);
                 prop_assert!(overrides.version > known.version);
             }
-            Look::Same => prop_assert!(kind == 2 && stored.version == known.version || known.version == 0),
-            Look::Restore => {}
-            Look::Wait => prop_assert!(false, "overrides are known"),
+            RecordAction::Same => prop_assert!(kind == 2 && stored.version == known.version || known.version == 0),
+            RecordAction::Restore => {}
+            RecordAction::Wait => prop_assert!(false, "overrides are known"),
         }
     }
 }
 
 #[test]
 fn without_known_overrides_a_damaged_record_is_waited_for_and_a_missing_one_is_empty() {
-    assert_eq!(look(Some(Err(BadRecord::Form)), None), Look::Wait);
-    assert_eq!(look(None, None), Look::Newer(Overrides::default()));
-    let overrides = Overrides { version: 3, drained: true, bans: Bans::default() };
-    assert_eq!(look(Some(Ok(overrides.clone())), None), Look::Newer(overrides));
+    assert_eq!(compare_record(Some(Err(RecordError::Form)), None), RecordAction::Wait);
+    assert_eq!(compare_record(None, None), RecordAction::Newer(Overrides::default()));
+    let overrides = Overrides { version: 3, drained: true, host_overrides: HostOverrides::default() };
+    assert_eq!(compare_record(Some(Ok(overrides.clone())), None), RecordAction::Newer(overrides));
 }
 
 /// Guards slow start during an upgrade: a process whose wall clock differs computes the same age of a resume,
 /// and a date in the future counts as now.
 #[test]
 fn a_resume_has_the_same_age_in_another_process_whatever_the_wall_clock_says() {
-    let mut bans = Bans::default();
-    bans.suspend("a", NOW.now - 5000.0);
-    bans.resume("a", NOW.now - 2000.0);
-    let bytes = Overrides { version: 1, drained: false, bans }.encode(NOW);
+    let mut host_overrides = HostOverrides::default();
+    host_overrides.suspend("a", NOW.now - 5000.0);
+    host_overrides.resume("a", NOW.now - 2000.0);
+    let bytes = Overrides { version: 1, drained: false, host_overrides }.encode(NOW);
     let back = |now: Clocks| {
         let read = Overrides::decode(&bytes, now).expect("whole");
-        now.now - read.bans.back_at("a").expect("it was resumed")
+        now.now - read.host_overrides.resumed_at("a").expect("it was resumed")
     };
     for step in [2000.0, -2000.0, 3_600_000.0, -3_600_000.0] {
         // The other process started 500 ms later, and its own clock has another start value.
@@ -89,5 +89,5 @@
         r#"{"version":1,"drained":false,"hosts":[{"name":"a","out":false,"since_ms":4398046609104.5}]}"#;
     let record = format!("{FORMAT_WORD} {:08x}\n{text}", crc32fast::hash(text.as_bytes()));
     let read = Overrides::decode(record.as_bytes(), NOW).expect("whole");
-    assert_eq!(read.bans.back_at("a"), Some(NOW.now - 1000.0));
+    assert_eq!(read.host_overrides.resumed_at("a"), Some(NOW.now - 1000.0));
 }
--- a/crates/duty/src/redial.rs
+++ b/crates/duty/src/reconnect_backoff.rs
@@ -10,19 +10,19 @@
 
 /// Exponential backoff with jitter, so that many clients that lost the same source do not reconnect at once.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Redial {
+pub struct ReconnectBackoff {
     failures: u32,
 }
 
-impl Redial {
+impl ReconnectBackoff {
     /// Records that events were received: the next attempt may follow at once.
-    pub fn heard(&mut self) {
+    pub fn reset(&mut self) {
         self.failures = 0;
     }
 
-    /// Records a failed attempt and returns the pause before the next, in milliseconds; `draw` is a random
+    /// Records a failed attempt and returns the delay before the next, in milliseconds; `draw` is a random
     /// number between 0 and 1.
-    pub fn pause(&mut self, draw: f64) -> Ms {
+    pub fn next_delay(&mut self, draw: f64) -> Ms {
         let max_pause = (INITIAL_MAX_PAUSE_MS * 2f64.powi(self.failures.min(16) as i32)).min(MAX_PAUSE_MS);
         self.failures = self.failures.saturating_add(1);
         max_pause * (0.5 + draw.clamp(0.0, 1.0) / 2.0)
--- a/crates/node/src/core/invoker.rs
+++ b/crates/node/src/core/invoker.rs
@@ -15,10 +15,10 @@
     monotonic_ms, until, Call, LoadChange, LogLineLimit, StallDetector, Workers, HEARTBEAT_INTERVAL,
 };
 use crate::memory::counters::Counters;
-use crate::memory::roster::{BanError, Directory, Listing};
+use crate::memory::roster::{Directory, Listing, SuspensionError};
 use crate::timers;
 use corkbay::{Dispatcher, Event, ModelId, Ms, Names, RequestId, Settings};
-use corkbay_duty::{Bans, Duty, Leave, Terms};
+use corkbay_duty::{HostOverrides, Leave, LeaveSchedule, ServingState};
 use corkbay_ledger::pressure::{decide, Case, Decision};
 use corkbay_ledger::{Full, Ledger, Purpose, Reservation};
 use may::sync::{mpsc, Condvar, Mutex};
@@ -74,8 +74,8 @@
     ledger: Arc<Ledger>,
     unanswered: Mutex<usize>,
     all_answered: Condvar,
-    duty: Mutex<Duty>,
-    duty_changed: Condvar,
+    serving_state: Mutex<ServingState>,
+    serving_state_changed: Condvar,
     serving: AtomicBool,
     /// Numbers and names of classes, tenants, zones and kinds.
     pub names: Names,
@@ -126,8 +126,8 @@
             ledger,
             unanswered: Mutex::new(0),
             all_answered: Condvar::new(),
-            duty: Mutex::default(),
-            duty_changed: Condvar::new(),
+            serving_state: Mutex::default(),
+            serving_state_changed: Condvar::new(),
             serving: AtomicBool::new(false),
             names,
             settings,
@@ -145,7 +145,7 @@
     }
 
     fn admit(self: &Arc<Self>, call: Call) -> Result<Taken, NotTaken> {
-        if self.duty().refuses(monotonic_ms()) {
+        if self.serving_state().refuses(monotonic_ms()) {
             return Err(NotTaken::Draining);
         }
         if self.stall_detector.is_overloaded(monotonic_ms()) {
@@ -243,21 +243,21 @@
 
     /// Replaces the operators' overrides on hosts: from then on nothing starts on a suspended host, whatever
     /// the directory says.
-    pub fn adopt(self: &Arc<Self>, bans: Bans) {
+    pub fn adopt(self: &Arc<Self>, host_overrides: HostOverrides) {
         let _ordered = lock(&self.roster_updates);
-        let roster = lock(&self.directory).adopt(bans);
+        let roster = lock(&self.directory).adopt(host_overrides);
         if !matches!(&roster, corkbay::RosterUpdate::Changes(entries) if entries.is_empty()) {
             self.feed(Event::Roster(roster));
         }
     }
 
     /// Whether a host can be suspended.
-    pub fn may_suspend(&self, name: &str) -> Result<(), BanError> {
+    pub fn may_suspend(&self, name: &str) -> Result<(), SuspensionError> {
         lock(&self.directory).may_suspend(name)
     }
 
     /// Whether a host can be resumed.
-    pub fn may_resume(&self, name: &str) -> Result<(), BanError> {
+    pub fn may_resume(&self, name: &str) -> Result<(), SuspensionError> {
         lock(&self.directory).may_resume(name)
     }
 
@@ -272,31 +272,34 @@
     }
 
     /// The operators' overrides on hosts.
-    pub fn bans(&self) -> Bans {
-        lock(&self.directory).bans().clone()
+    pub fn host_overrides(&self) -> HostOverrides {
+        lock(&self.directory).host_overrides().clone()
     }
 
     /// The current state towards clients: serving, draining or ending.
-    pub fn duty(&self) -> Duty {
-        *lock(&self.duty)
+    pub fn serving_state(&self) -> ServingState {
+        *lock(&self.serving_state)
     }
 
     /// Starts to leave the clients, with these times.
-    pub fn leave(&self, why: Leave, terms: Terms) {
-        lock(&self.duty).leave(why, monotonic_ms(), terms);
-        self.duty_changed.notify_all();
+    pub fn leave(&self, why: Leave, schedule: LeaveSchedule) {
+        lock(&self.serving_state).leave(why, monotonic_ms(), schedule);
+        self.serving_state_changed.notify_all();
     }
 
     /// Returns to serving clients; false if the process is about to end.
     pub fn come_back(&self) -> bool {
-        lock(&self.duty).come_back()
+        lock(&self.serving_state).come_back()
     }
 
     /// Waits until a drain or the end of the process has begun.
     pub fn wait_for_leave(&self) {
-        let mut duty = lock(&self.duty);
-        while duty.leaving().is_none() {
-            duty = self.duty_changed.wait(duty).unwrap_or_else(|poisoned| poisoned.into_inner());
+        let mut serving_state = lock(&self.serving_state);
+        while serving_state.leaving().is_none() {
+            serving_state = self
+                .serving_state_changed
+                .wait(serving_state)
+                .unwrap_or_else(|poisoned| poisoned.into_inner());
         }
     }
 
--- a/crates/node/src/core/invoker/tests.rs
+++ b/crates/node/src/core/invoker/tests.rs
@@ -112,7 +112,10 @@
     let taken = invoker.take(call(2)).expect("taken");
     assert_eq!(taken.serve(), Answer::Served { body: vec![7] });
     drop(taken);
-    invoker.leave(Leave::Ending, Terms { let_go: 0.0, refuse: 0.0, gone: None });
+    invoker.leave(
+        Leave::Ending,
+        LeaveSchedule { close_connections_at: 0.0, refuse_requests_at: 0.0, all_closed_by: None },
+    );
     assert!(invoker.settle(Duration::ZERO));
     assert_eq!(invoker.take(call(3)).err(), Some(NotTaken::Draining));
 }
--- a/crates/node/src/life/handover.rs
+++ b/crates/node/src/life/handover.rs
@@ -12,7 +12,7 @@
 
 use crate::core::{lock, monotonic_ms, Invoker};
 use crate::timers;
-use corkbay_duty::{Leave, Overrides, Succession, Terms};
+use corkbay_duty::{Leave, LeaveSchedule, Overrides, Succession};
 use may::sync::mpsc as coroutine_mpsc;
 use std::io;
 use std::sync::atomic::Ordering;
@@ -32,7 +32,11 @@
 /// The schedule of a drain. The platform's front polls every 0.1 s and sends connections for 0.2 s more, so after
 /// 0.7 s every client can know of the drain. Requests on connections that are still open are accepted until 1.6 s, so
 /// that an accepted request can be 2 s old when all connections must be gone after 4 s.
-const DRAIN_TERMS: Terms = Terms { let_go: 700.0, refuse: 1600.0, gone: Some((4000.0, 2000.0)) };
+const DRAIN_SCHEDULE: LeaveSchedule = LeaveSchedule {
+    close_connections_at: 700.0,
+    refuse_requests_at: 1600.0,
+    all_closed_by: Some((4000.0, 2000.0)),
+};
 
 /// Access to the operators' overrides in this process, which may share them with another process.
 #[derive(Clone)]
@@ -85,14 +89,14 @@
         match &command {
             OperatorCommand::Suspend(name) => invoker.may_suspend(name)?,
             OperatorCommand::Resume(name) => invoker.may_resume(name)?,
-            OperatorCommand::Activate if invoker.duty().leaving() == Some(Leave::Ending) => {
+            OperatorCommand::Activate if invoker.serving_state().leaving() == Some(Leave::Ending) => {
                 return Err(CommandError::Ending)
             }
             OperatorCommand::Drain | OperatorCommand::Activate => {}
         }
         let Some((requests, _)) = &self.files else {
-            let drained = invoker.duty().leaving() == Some(Leave::Drained);
-            let mut overrides = Overrides { version: 0, drained, bans: invoker.bans() };
+            let drained = invoker.serving_state().leaving() == Some(Leave::Drained);
+            let mut overrides = Overrides { version: 0, drained, host_overrides: invoker.host_overrides() };
             command.apply(&mut overrides, monotonic_ms());
             apply_overrides(invoker, &overrides);
             return Ok(());
@@ -105,9 +109,9 @@
 
 /// Applies overrides to this process.
 fn apply_overrides(invoker: &Arc<Invoker>, overrides: &Overrides) {
-    invoker.adopt(overrides.bans.clone());
-    match (overrides.drained, invoker.duty().leaving()) {
-        (true, None) => invoker.leave(Leave::Drained, DRAIN_TERMS),
+    invoker.adopt(overrides.host_overrides.clone());
+    match (overrides.drained, invoker.serving_state().leaving()) {
+        (true, None) => invoker.leave(Leave::Drained, DRAIN_SCHEDULE),
         (false, Some(Leave::Drained)) => _ = invoker.come_back(),
         _ => {}
     }
--- a/crates/node/src/life/handover/command.rs
+++ b/crates/node/src/life/handover/command.rs
@@ -1,5 +1,5 @@
 //! Operators' commands and the reasons for which they fail.
-use crate::memory::roster::BanError;
+use crate::memory::roster::SuspensionError;
 use corkbay_duty::Overrides;
 
 /// A command of an operator.
@@ -25,8 +25,8 @@
     /// Changes the overrides as the command demands; `now_ms` is the monotonic time.
     pub(super) fn apply(&self, overrides: &mut Overrides, now_ms: f64) {
         match self {
-            OperatorCommand::Suspend(name) => _ = overrides.bans.suspend(name, now_ms),
-            OperatorCommand::Resume(name) => _ = overrides.bans.resume(name, now_ms),
+            OperatorCommand::Suspend(name) => _ = overrides.host_overrides.suspend(name, now_ms),
+            OperatorCommand::Resume(name) => _ = overrides.host_overrides.resume(name, now_ms),
             OperatorCommand::Drain => overrides.drained = true,
             OperatorCommand::Activate => overrides.drained = false,
         }
@@ -47,11 +47,11 @@
     Unwritten,
 }
 
-impl From<BanError> for CommandError {
-    fn from(error: BanError) -> Self {
+impl From<SuspensionError> for CommandError {
+    fn from(error: SuspensionError) -> Self {
         match error {
-            BanError::Unknown => CommandError::Unknown,
-            BanError::NoRoom => CommandError::NoRoom,
+            SuspensionError::Unknown => CommandError::Unknown,
+            SuspensionError::NoRoom => CommandError::NoRoom,
         }
     }
 }
--- a/crates/node/src/life/handover/files.rs
+++ b/crates/node/src/life/handover/files.rs
@@ -5,7 +5,7 @@
 //! files as long as it runs, and writes there that it is ready. One thread does all file access: coroutines must not
 //! wait for a disk.
 use crate::clock::{machine_clock_ahead_ms, monotonic_ms, UnixTime};
-use corkbay_duty::{BadRecord, Clocks, Overrides, Seen, Succession, MOST};
+use corkbay_duty::{Clocks, Overrides, RecordError, SlotState, Succession, MAX_RECORD_BYTES};
 use std::fs::{File, OpenOptions, TryLockError};
 use std::io::{self, Read, Seek, Write};
 use std::os::unix::fs::MetadataExt;
@@ -91,32 +91,32 @@
     }
 
     /// The state of the other process's slot.
-    pub(super) fn check_other_slot(&mut self) -> Seen {
+    pub(super) fn check_other_slot(&mut self) -> SlotState {
         match self.other.try_lock_shared() {
             // No process holds the slot. The lock taken for this check must be released.
             Ok(()) => {
                 let _ = self.other.unlock();
-                Seen::Empty
+                SlotState::Empty
             }
             Err(_) => {
                 let mut text = Vec::new();
                 let read = self.other.rewind().and_then(|()| (&self.other).take(64).read_to_end(&mut text));
-                Seen::Taken { ready: read.is_ok() && text == READY }
+                SlotState::Taken { ready: read.is_ok() && text == READY }
             }
         }
     }
 
     /// Reads the record; none if there is no file.
-    pub(super) fn read(&self) -> Option<Result<Overrides, BadRecord>> {
+    pub(super) fn read(&self) -> Option<Result<Overrides, RecordError>> {
         let file = match File::open(self.folder.join(OVERRIDES_FILE)) {
             Err(error) if error.kind() == io::ErrorKind::NotFound => return None,
-            Err(_) => return Some(Err(BadRecord::Form)),
+            Err(_) => return Some(Err(RecordError::Form)),
             Ok(file) => file,
         };
         let mut bytes = Vec::new();
-        match file.take(MOST as u64).read_to_end(&mut bytes) {
+        match file.take(MAX_RECORD_BYTES as u64).read_to_end(&mut bytes) {
             Ok(_) => Some(Overrides::decode(&bytes, shared_clocks())),
-            Err(_) => Some(Err(BadRecord::Form)),
+            Err(_) => Some(Err(RecordError::Form)),
         }
     }
 
--- a/crates/node/src/life/handover/sync.rs
+++ b/crates/node/src/life/handover/sync.rs
@@ -2,7 +2,7 @@
 use super::files::{RecordMetadata, SharedFiles};
 use super::{apply_overrides, CommandError, OperatorCommand};
 use crate::core::{lock, monotonic_ms, Invoker};
-use corkbay_duty::{look, Look, Overrides, Succession};
+use corkbay_duty::{compare_record, Overrides, RecordAction, Succession};
 use may::sync::{mpsc as coroutine_mpsc, Mutex};
 use std::io;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -93,12 +93,12 @@
         if self.last_read == Some(metadata) && self.known.is_some() {
             return Ok(());
         }
-        match look(self.files.read(), self.known.as_ref()) {
-            Look::Same => {}
-            Look::Newer(overrides) => self.adopt(overrides),
-            Look::Restore => self.restore()?,
-            Look::Wait if lock(&self.status.succession).other().is_some() => return Ok(()),
-            Look::Wait => {
+        match compare_record(self.files.read(), self.known.as_ref()) {
+            RecordAction::Same => {}
+            RecordAction::Newer(overrides) => self.adopt(overrides),
+            RecordAction::Restore => self.restore()?,
+            RecordAction::Wait if lock(&self.status.succession).other().is_some() => return Ok(()),
+            RecordAction::Wait => {
                 tracing::error!(
                     "handover: the operators' overrides are damaged and nobody knows what it said"
                 );
@@ -120,10 +120,10 @@
     /// Writes the known overrides again, unless the other process has written newer ones.
     fn restore(&mut self) -> io::Result<()> {
         let Some(known) = self.known.clone() else { return Ok(()) };
-        let newer = self.files.with_lock(|| match look(self.files.read(), Some(&known)) {
-            Look::Newer(overrides) => Ok(Some(overrides)),
-            Look::Restore => self.files.write(&known).map(|()| None),
-            Look::Same | Look::Wait => Ok(None),
+        let newer = self.files.with_lock(|| match compare_record(self.files.read(), Some(&known)) {
+            RecordAction::Newer(overrides) => Ok(Some(overrides)),
+            RecordAction::Restore => self.files.write(&known).map(|()| None),
+            RecordAction::Same | RecordAction::Wait => Ok(None),
         })?;
         if let Some(overrides) = newer {
             self.adopt(overrides);
@@ -144,9 +144,9 @@
             apply_overrides(&self.invoker, &next(before.clone()));
         }
         let written = self.files.with_lock(|| {
-            let overrides = next(match look(self.files.read(), Some(&before)) {
-                Look::Newer(overrides) => overrides,
-                Look::Same | Look::Restore | Look::Wait => before.clone(),
+            let overrides = next(match compare_record(self.files.read(), Some(&before)) {
+                RecordAction::Newer(overrides) => overrides,
+                RecordAction::Same | RecordAction::Restore | RecordAction::Wait => before.clone(),
             });
             self.files.write(&overrides).map(|()| overrides)
         });
--- a/crates/node/src/life/handover/tests.rs
+++ b/crates/node/src/life/handover/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use corkbay_duty::{Other, Seen};
+use corkbay_duty::{PeerProcess, SlotState};
 use std::path::{Path, PathBuf};
 
 fn folder(name: &str) -> PathBuf {
@@ -38,23 +38,25 @@
     old.sync_overrides().expect("no record");
     assert_eq!(old.execute(&suspend("a")), Ok(()));
     let mut new = sync(&folder);
-    assert_eq!(new.status.succession.lock().expect("whole").other(), Some(Other::Predecessor));
+    assert_eq!(new.status.succession.lock().expect("whole").other(), Some(PeerProcess::Predecessor));
     new.sync_overrides().expect("read");
-    assert!(new.invoker.bans().is_out("a"));
+    assert!(new.invoker.host_overrides().is_suspended("a"));
     assert_eq!(new.execute(&suspend("b")), Ok(()));
     assert_eq!(new.execute(&OperatorCommand::Drain), Ok(()));
     old.sync_overrides().expect("read");
-    assert!(old.invoker.bans().is_out("b"));
-    assert_eq!(old.invoker.duty().leaving(), Some(Leave::Drained));
+    assert!(old.invoker.host_overrides().is_suspended("b"));
+    assert_eq!(old.invoker.serving_state().leaving(), Some(Leave::Drained));
     assert_eq!(old.execute(&OperatorCommand::Resume("a".into())), Ok(()));
     assert_eq!(old.execute(&OperatorCommand::Activate), Ok(()));
     new.sync_overrides().expect("read");
-    assert!(!new.invoker.bans().is_out("a") && new.invoker.bans().is_out("b"));
     assert!(
-        new.invoker.bans().back_at("a").is_some(),
+        !new.invoker.host_overrides().is_suspended("a") && new.invoker.host_overrides().is_suspended("b")
+    );
+    assert!(
+        new.invoker.host_overrides().resumed_at("a").is_some(),
         "the other process also knows when the host was resumed"
     );
-    assert_eq!(new.invoker.duty().leaving(), None);
+    assert_eq!(new.invoker.serving_state().leaving(), None);
     drop((old, new));
     let mut later = sync(&folder);
     assert_eq!(
@@ -63,7 +65,7 @@
         "a slot is free once its process has exited"
     );
     later.sync_overrides().expect("read");
-    assert!(later.invoker.bans().is_out("b"));
+    assert!(later.invoker.host_overrides().is_suspended("b"));
     let _ = std::fs::remove_dir_all(&folder);
 }
 
@@ -82,9 +84,12 @@
         new.sync_overrides().expect("waits");
         assert!(!new.status.has_overrides.load(Ordering::Acquire), "the successor waits for its predecessor");
         old.sync_overrides().expect("restored");
-        assert!(old.invoker.bans().is_out("a"));
+        assert!(old.invoker.host_overrides().is_suspended("a"));
         new.sync_overrides().expect("read");
-        assert!(new.status.has_overrides.load(Ordering::Acquire) && new.invoker.bans().is_out("a"));
+        assert!(
+            new.status.has_overrides.load(Ordering::Acquire)
+                && new.invoker.host_overrides().is_suspended("a")
+        );
     }
     std::fs::remove_file(folder.join("word")).expect("gone");
     old.sync_overrides().expect("restored");
@@ -112,12 +117,12 @@
     assert_eq!(sync.execute(&OperatorCommand::Resume("a".into())), Err(CommandError::Unwritten));
     assert_eq!(sync.execute(&suspend("b")), Err(CommandError::Unwritten));
     assert!(sync.sync_overrides().is_err(), "it keeps trying");
-    let bans = sync.invoker.bans();
-    assert!(bans.is_out("a") && bans.is_out("b"));
+    let host_overrides = sync.invoker.host_overrides();
+    assert!(host_overrides.is_suspended("a") && host_overrides.is_suspended("b"));
     std::fs::remove_dir(&blocked).expect("out of the way");
     sync.sync_overrides().expect("written");
     let overrides = sync.files.read().expect("exists").expect("whole");
-    assert!(overrides.bans.is_out("a") && overrides.bans.is_out("b"));
+    assert!(overrides.host_overrides.is_suspended("a") && overrides.host_overrides.is_suspended("b"));
     let _ = std::fs::remove_dir_all(&folder);
 }
 
@@ -128,11 +133,11 @@
         (SharedFiles::join(&folder).expect("free"), SharedFiles::join(&folder).expect("free"));
     assert_eq!((first.parts(), second.parts()), (1, 2));
     assert_eq!(SharedFiles::join(&folder).err().map(|error| error.kind()), Some(io::ErrorKind::WouldBlock));
-    assert_eq!(second.check_other_slot(), Seen::Taken { ready: false });
+    assert_eq!(second.check_other_slot(), SlotState::Taken { ready: false });
     let mut first = first;
     first.announce_ready().expect("written");
-    assert_eq!(second.check_other_slot(), Seen::Taken { ready: true });
+    assert_eq!(second.check_other_slot(), SlotState::Taken { ready: true });
     drop(first);
-    assert_eq!(second.check_other_slot(), Seen::Empty);
+    assert_eq!(second.check_other_slot(), SlotState::Empty);
     let _ = std::fs::remove_dir_all(&folder);
 }
--- a/crates/node/src/life/platform.rs
+++ b/crates/node/src/life/platform.rs
@@ -11,7 +11,7 @@
 use crate::wire::passage::{self, Passage};
 use crate::wire::workers::{FrameWorkers, Limits as WorkerLimits};
 use crate::wire::{front, operators};
-use corkbay_duty::{Leave, Terms};
+use corkbay_duty::{Leave, LeaveSchedule};
 use corkbay_ledger::{Budget, Ledger, Purpose};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGUSR1};
 use signal_hook::iterator::Signals;
@@ -266,9 +266,9 @@
     invoker.serving();
     let longest = longest_deadline(&config.settings).min(MAX_COUNTED_DEADLINE);
     let shutdown = Shutdown {
-        terms: || {
+        schedule: || {
             let succession = overrides.succession();
-            if succession.is_succeeded() {
+            if succession.has_ready_successor() {
                 // Accepts what waits in the listen queue; later clients connect to the successor.
                 acceptor.close();
                 let opened =
@@ -277,9 +277,12 @@
                     tracing::warn!(%error, "handover: no connections can be passed on");
                 }
             }
-            succession.ending(TERMS_WITHOUT_SUCCESSOR, ACCEPT_AFTER_SIGTERM_WITH_SUCCESSOR.as_millis() as f64)
+            succession.ending(
+                LEAVE_SCHEDULE_WITHOUT_SUCCESSOR,
+                ACCEPT_AFTER_SIGTERM_WITH_SUCCESSOR.as_millis() as f64,
+            )
         },
-        no_new_clients: || overrides.succession().is_succeeded() && acceptor.held() == 0,
+        no_new_clients: || overrides.succession().has_ready_successor() && acceptor.held() == 0,
         acceptor: &acceptor,
         terminate_after: ACCEPT_AFTER_SIGTERM + longest.saturating_sub(FINAL_ANSWER_TIME),
     };
@@ -307,7 +310,7 @@
 fn drain(invoker: &Invoker, acceptor: &Acceptor) {
     loop {
         invoker.wait_for_leave();
-        if invoker.duty().lets_go(monotonic_ms()) {
+        if invoker.serving_state().closes_connections(monotonic_ms()) {
             acceptor.drain();
         }
         timers::sleep(DRAIN_POLL_INTERVAL);
@@ -322,7 +325,7 @@
 /// How a process shuts down.
 pub struct Shutdown<'a, T, O> {
     /// Begins the shutdown and returns its schedule for clients.
-    pub terms: T,
+    pub schedule: T,
     /// Whether no client can connect any more, so that the process can stop once no request is unanswered.
     pub no_new_clients: O,
     /// The acceptor of client connections, closed last.
@@ -334,7 +337,7 @@
 /// Handles signals on the main thread: SIGHUP reloads the configuration, SIGUSR1 logs the counters, any other signal
 /// stops the process. During shutdown requests are accepted for a short time, and accepted requests get time to finish;
 /// SIGHUP and SIGUSR1 are still handled until then.
-pub fn serve_until_signalled<T: FnOnce() -> Terms, O: Fn() -> bool>(
+pub fn serve_until_signalled<T: FnOnce() -> LeaveSchedule, O: Fn() -> bool>(
     invoker: &Arc<Invoker>,
     signals: &mut Signals,
     reload: impl Fn() -> Result<(), ConfigError>,
@@ -343,7 +346,8 @@
     let handle = |signal| match signal {
         SIGUSR1 => {
             tracing::info!("{}", invoker.counters);
-            let (suspended, leaving) = (invoker.bans().out().count(), invoker.duty().leaving());
+            let (suspended, leaving) =
+                (invoker.host_overrides().out().count(), invoker.serving_state().leaving());
             tracing::info!(suspended, ?leaving, "operators' overrides");
             accounts::log(invoker);
             true
@@ -359,9 +363,9 @@
     };
     while signals.wait().all(handle) {}
     let shutdown_start = Instant::now();
-    let terms = (shutdown.terms)();
-    invoker.leave(Leave::Ending, terms);
-    let accepting = Duration::from_secs_f64(terms.refuse / 1000.0);
+    let schedule = (shutdown.schedule)();
+    invoker.leave(Leave::Ending, schedule);
+    let accepting = Duration::from_secs_f64(schedule.refuse_requests_at / 1000.0);
     let mut handle_pending = || signals.pending().for_each(|signal| _ = handle(signal));
     while shutdown_start.elapsed() < accepting && !((shutdown.no_new_clients)() && invoker.owed() == 0) {
         std::thread::sleep(SHUTDOWN_POLL_INTERVAL);
@@ -385,10 +389,10 @@
 }
 
 /// The shutdown schedule of a process without a successor.
-pub const TERMS_WITHOUT_SUCCESSOR: Terms = Terms {
-    let_go: ACCEPT_AFTER_SIGTERM.as_millis() as f64,
-    refuse: ACCEPT_AFTER_SIGTERM.as_millis() as f64,
-    gone: None,
+pub const LEAVE_SCHEDULE_WITHOUT_SUCCESSOR: LeaveSchedule = LeaveSchedule {
+    close_connections_at: ACCEPT_AFTER_SIGTERM.as_millis() as f64,
+    refuse_requests_at: ACCEPT_AFTER_SIGTERM.as_millis() as f64,
+    all_closed_by: None,
 };
 
 /// The longest deadline of any class, from the settings object: 1 s if none is longer.
--- a/crates/node/src/life/service.rs
+++ b/crates/node/src/life/service.rs
@@ -3,7 +3,7 @@
 use super::deploy::{Deploy, Protocol, Style};
 use super::platform::{
     longest_deadline, serve_until_signalled, signals, split_descriptors, worker_limits, Shutdown,
-    ACCEPT_AFTER_SIGTERM, TERMS_WITHOUT_SUCCESSOR,
+    ACCEPT_AFTER_SIGTERM, LEAVE_SCHEDULE_WITHOUT_SUCCESSOR,
 };
 use super::{accounts, spawn};
 use crate::core::{Invoker, Workers};
@@ -109,7 +109,7 @@
     };
     let terminate_after = ACCEPT_AFTER_SIGTERM + longest_deadline(&settings) + FINAL_ANSWER_TIME;
     let shutdown = Shutdown {
-        terms: || TERMS_WITHOUT_SUCCESSOR,
+        schedule: || LEAVE_SCHEDULE_WITHOUT_SUCCESSOR,
         no_new_clients: || false,
         acceptor: &acceptor,
         terminate_after,
--- a/crates/node/src/memory/roster.rs
+++ b/crates/node/src/memory/roster.rs
@@ -3,7 +3,7 @@
 use super::starts::{MonotonicReadings, ReportTime, ReportedStart};
 use crate::clock::{monotonic_ms, UnixTime};
 use corkbay::{position, Ms, Names, RosterEntry, RosterUpdate, WorkerId, WorkerState};
-use corkbay_duty::Bans;
+use corkbay_duty::HostOverrides;
 use corkbay_ledger::pressure::{decide, Case, Decision};
 use corkbay_ledger::{Account, Purpose, Reservation};
 use std::collections::{HashMap, HashSet, VecDeque};
@@ -86,14 +86,14 @@
 
 impl KnownWorker {
     /// The roster entry for the decision logic, with the operators' overrides applied. Also updates the flags of the host.
-    fn effective_entry(&self, bans: &Bans) -> RosterEntry {
+    fn effective_entry(&self, host_overrides: &HostOverrides) -> RosterEntry {
         let mut entry = self.listed.clone();
-        let is_suspended = bans.is_out(&entry.name);
+        let is_suspended = host_overrides.is_suspended(&entry.name);
         if is_suspended && entry.state == WorkerState::Ready {
             entry.state = WorkerState::Draining;
         }
         // A host is restarted while it is suspended; the list may still report an earlier start.
-        entry.started_at = entry.started_at.max(bans.back_at(&entry.name).unwrap_or(0.0));
+        entry.started_at = entry.started_at.max(host_overrides.resumed_at(&entry.name).unwrap_or(0.0));
         self.host.suspend(is_suspended);
         self.host.bar(entry.state != WorkerState::Ready);
         entry
@@ -102,7 +102,7 @@
 
 /// Why an operator's override on a host is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum BanError {
+pub enum SuspensionError {
     /// The host was never listed.
     Unknown,
     /// There is no room to store another name.
@@ -126,8 +126,8 @@
     gone: VecDeque<WorkerId>,
     /// Hashes of the names of dropped workers.
     forgotten: VecDeque<u64>,
-    bans: Bans,
-    bans_held: Reservation,
+    host_overrides: HostOverrides,
+    host_overrides_held: Reservation,
 }
 
 impl Directory {
@@ -142,8 +142,8 @@
             held: account.nothing(),
             gone: VecDeque::new(),
             forgotten: VecDeque::new(),
-            bans: Bans::default(),
-            bans_held: account.nothing(),
+            host_overrides: HostOverrides::default(),
+            host_overrides_held: account.nothing(),
         }
     }
 
@@ -162,36 +162,39 @@
     }
 
     /// The operators' overrides on hosts.
-    pub fn bans(&self) -> &Bans {
-        &self.bans
+    pub fn host_overrides(&self) -> &HostOverrides {
+        &self.host_overrides
     }
 
     /// Checks whether a host can be suspended: it was listed before, and there is room for its name.
-    pub fn may_suspend(&mut self, name: &str) -> Result<(), BanError> {
+    pub fn may_suspend(&mut self, name: &str) -> Result<(), SuspensionError> {
         self.may_resume(name)?;
-        let bytes = self.bans.bytes() + Bans::cost(name);
-        if !self.bans.is_out(name) && self.bans_held.resize(bytes).is_err() {
-            return Err(BanError::NoRoom);
+        let bytes = self.host_overrides.bytes() + HostOverrides::cost(name);
+        if !self.host_overrides.is_suspended(name) && self.host_overrides_held.resize(bytes).is_err() {
+            return Err(SuspensionError::NoRoom);
         }
         Ok(())
     }
 
     /// Checks whether a host can be resumed: it was listed before.
-    pub fn may_resume(&self, name: &str) -> Result<(), BanError> {
-        let known = self.ids_by_name.contains_key(name) || self.bans.is_out(name);
+    pub fn may_resume(&self, name: &str) -> Result<(), SuspensionError> {
+        let known = self.ids_by_name.contains_key(name) || self.host_overrides.is_suspended(name);
         let listed = known || self.forgotten.contains(&hash(name));
-        listed.then_some(()).ok_or(BanError::Unknown)
+        listed.then_some(()).ok_or(SuspensionError::Unknown)
     }
 
     /// Replaces the operators' overrides on all hosts; returns the roster entries of the hosts whose override has changed.
-    pub fn adopt(&mut self, bans: Bans) -> RosterUpdate {
-        let before = std::mem::replace(&mut self.bans, bans);
-        self.bans_held.owe(self.bans.bytes());
+    pub fn adopt(&mut self, host_overrides: HostOverrides) -> RosterUpdate {
+        let before = std::mem::replace(&mut self.host_overrides, host_overrides);
+        self.host_overrides_held.owe(self.host_overrides.bytes());
         let changed = self.hosts.values().filter(|known| {
-            let override_of = |bans: &Bans| (bans.is_out(&known.host.name), bans.back_at(&known.host.name));
-            override_of(&before) != override_of(&self.bans)
+            let override_of = |host_overrides: &HostOverrides| {
+                (host_overrides.is_suspended(&known.host.name), host_overrides.resumed_at(&known.host.name))
+            };
+            override_of(&before) != override_of(&self.host_overrides)
         });
-        let mut entries: Vec<RosterEntry> = changed.map(|known| known.effective_entry(&self.bans)).collect();
+        let mut entries: Vec<RosterEntry> =
+            changed.map(|known| known.effective_entry(&self.host_overrides)).collect();
         entries.sort_unstable_by_key(|entry| entry.worker);
         RosterUpdate::Changes(entries)
     }
@@ -299,7 +302,7 @@
             }
         };
         let known = self.hosts.entry(id).or_insert(KnownWorker { host, listed, start });
-        Some(known.effective_entry(&self.bans))
+        Some(known.effective_entry(&self.host_overrides))
     }
 }
 
--- a/crates/node/src/memory/roster/tests.rs
+++ b/crates/node/src/memory/roster/tests.rs
@@ -39,18 +39,18 @@
     assert_eq!(account.used(), 0);
 }
 
-fn suspend(directory: &mut Directory, name: &str, now: Ms) -> Result<RosterUpdate, BanError> {
+fn suspend(directory: &mut Directory, name: &str, now: Ms) -> Result<RosterUpdate, SuspensionError> {
     directory.may_suspend(name)?;
-    let mut bans = directory.bans().clone();
-    bans.suspend(name, now);
-    Ok(directory.adopt(bans))
+    let mut host_overrides = directory.host_overrides().clone();
+    host_overrides.suspend(name, now);
+    Ok(directory.adopt(host_overrides))
 }
 
-fn resume(directory: &mut Directory, name: &str, now: Ms) -> Result<RosterUpdate, BanError> {
+fn resume(directory: &mut Directory, name: &str, now: Ms) -> Result<RosterUpdate, SuspensionError> {
     directory.may_resume(name)?;
-    let mut bans = directory.bans().clone();
-    bans.resume(name, now);
-    Ok(directory.adopt(bans))
+    let mut host_overrides = directory.host_overrides().clone();
+    host_overrides.resume(name, now);
+    Ok(directory.adopt(host_overrides))
 }
 
 /// Guards against losing overrides on hosts that left long ago: an operator may still suspend them, and a host that
@@ -64,7 +64,7 @@
         directory.apply(vec![listing(name, WorkerState::Removed)], false, false);
     }
     assert!(!directory.ids_by_name.contains_key("w0"));
-    assert_eq!(suspend(&mut directory, "never", 1.0).err(), Some(BanError::Unknown));
+    assert_eq!(suspend(&mut directory, "never", 1.0).err(), Some(SuspensionError::Unknown));
     assert!(suspend(&mut directory, "w0", 1.0).is_ok());
     let RosterUpdate::Changes(back) = directory.apply(vec![listing(0, WorkerState::Ready)], false, false)
     else {
@@ -135,7 +135,7 @@
                     }));
                 }
                 Ok(other) => panic!("{other:?}"),
-                Err(why) => prop_assert_eq!(why, BanError::Unknown),
+                Err(why) => prop_assert_eq!(why, SuspensionError::Unknown),
             }
             for (name, state) in &listed {
                 let is_suspended = suspended.contains(name);
--- a/crates/node/src/wire/channel.rs
+++ b/crates/node/src/wire/channel.rs
@@ -6,7 +6,7 @@
 use crate::memory::starts::Contact;
 use crate::timers;
 use corkbay::{Ms, WorkerState};
-use corkbay_duty::Redial;
+use corkbay_duty::ReconnectBackoff;
 use may::sync::Mutex;
 use serde::Deserialize;
 use serde_json::Value;
@@ -169,7 +169,7 @@
 /// Reads the channel for as long as the process lives. It reconnects whenever the connection ends: at once if that brought
 /// events or the address changed, otherwise after a backoff delay.
 pub fn follow(invoker: &Arc<Invoker>, channel: &Line, mut cursor: u64) {
-    let (mut backoff, mut contact) = (Redial::default(), Contact::default());
+    let (mut backoff, mut contact) = (ReconnectBackoff::default(), Contact::default());
     loop {
         let (cursor_before, address) = (cursor, channel.address());
         invoker.counters.channel_calls.add();
@@ -177,10 +177,10 @@
             tracing::warn!(%error, "command channel");
         }
         if cursor == cursor_before && channel.address() == address {
-            let pause = backoff.pause(rand::random());
+            let pause = backoff.next_delay(rand::random());
             timers::sleep(Duration::from_secs_f64(pause / 1000.0));
         } else {
-            backoff.heard();
+            backoff.reset();
         }
     }
 }
--- a/crates/node/src/wire/front.rs
+++ b/crates/node/src/wire/front.rs
@@ -203,7 +203,7 @@
                 ClientState::Idle => since + IDLE_TIMEOUT_MS,
                 ClientState::Silent => since + UNANSWERED_TIMEOUT_MS,
             };
-            if connection.is_draining() && invoker.duty().ends(monotonic_ms(), last_request) {
+            if connection.is_draining() && invoker.serving_state().ends(monotonic_ms(), last_request) {
                 local_request_ids(open_requests).into_iter().for_each(|id| invoker.end(id));
             }
             let was_empty = buffer.is_empty();
@@ -266,7 +266,7 @@
                 Ok(())
             }
             Ok(Message::Alive { seqid }) => {
-                let is_success = invoker.duty().leaving().is_none();
+                let is_success = invoker.serving_state().leaving().is_none();
                 write(
                     connection,
                     &thrift::reply("alive", seqid, Reply::Answer { body: Vec::new(), is_success }),
--- a/crates/node/src/wire/operators.rs
+++ b/crates/node/src/wire/operators.rs
@@ -147,7 +147,7 @@
 /// Whether this process can serve. A drain by the operators doesn't make it unready, and is reported at the clients'
 /// address instead: otherwise the successor of a drained process would never count as ready.
 fn readiness(invoker: &Invoker) -> CallReply {
-    match invoker.duty().leaving() {
+    match invoker.serving_state().leaving() {
         _ if !invoker.is_serving() => {
             CallReply(503, json!({"ready": false, "detail": "this process is starting"}))
         }
--- a/crates/node/src/wire/passage.rs
+++ b/crates/node/src/wire/passage.rs
@@ -5,7 +5,7 @@
 //! and later their answers. From then on only the successor reads from and writes to the client. Each side uses a thread:
 //! descriptors are ancillary data (`SCM_RIGHTS`), which coroutines can't wait for.
 use crate::core::lock;
-use corkbay_duty::{Head, Message, HEAD};
+use corkbay_duty::{Message, MessageHeader, HEADER_BYTES};
 use may::sync::{mpsc as coroutine_mpsc, Mutex};
 use rustix::net::{
     recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
@@ -128,7 +128,7 @@
     for command in queue {
         match command {
             Command::Connection { stream: descriptor, number, unanswered, sent } => {
-                let bytes = Message::Connection { number, owed: unanswered }.encode();
+                let bytes = Message::Connection { number, unanswered }.encode();
                 let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
                 let mut ancillary = SendAncillaryBuffer::new(&mut space);
                 let descriptors = [descriptor.as_fd()];
@@ -179,18 +179,18 @@
     connections: &mut HashMap<u64, A>,
     take_over: impl Fn(TcpStream, &[i32]) -> io::Result<A>,
 ) -> io::Result<()> {
-    let mut head = [0; HEAD];
+    let mut head = [0; HEADER_BYTES];
     loop {
         let (size, descriptor) = receive(stream, &mut head)?;
         if size == 0 {
             return Ok(());
         }
         stream.read_exact(&mut head[size..])?;
-        let head = Head::decode(&head).map_err(io::Error::other)?;
+        let head = MessageHeader::decode(&head).map_err(io::Error::other)?;
         let mut body = vec![0; head.length()];
         stream.read_exact(&mut body)?;
         match (head.message(body), descriptor) {
-            (Message::Connection { number, owed: unanswered }, Some(descriptor)) => {
+            (Message::Connection { number, unanswered }, Some(descriptor)) => {
                 _ = connections.insert(number, take_over(descriptor.into(), &unanswered)?);
             }
             (Message::Connection { .. }, None) => {
