--- a/crates/ledger/src/account.rs
+++ b/crates/ledger/src/account.rs
@@ -42,7 +42,7 @@
 /// An account or one of its ancestors has no room for a reservation.
 #[derive(Clone, Debug, thiserror::Error)]
 #[error("{asked} bytes do not fit into {account}: it holds {used} of {cap}")]
-pub struct Full {
+pub struct CapExceeded {
     /// The account whose cap was reached.
     pub account: Account,
     /// Bytes asked for.
@@ -53,7 +53,7 @@
     pub cap: usize,
 }
 
-impl Full {
+impl CapExceeded {
     /// Counts a refusal on the account.
     pub(crate) fn count_refusal(&self) {
         self.account.0.refused.fetch_add(1, Relaxed);
@@ -86,20 +86,20 @@
     }
 
     /// Reserves bytes in this account and all its ancestors, or in none of them.
-    pub fn reserve(&self, bytes: usize) -> Result<Reservation, Full> {
-        self.try_reserve(bytes).inspect_err(Full::count_refusal)
+    pub fn reserve(&self, bytes: usize) -> Result<Reservation, CapExceeded> {
+        self.try_reserve(bytes).inspect_err(CapExceeded::count_refusal)
     }
 
     /// Like [`Account::reserve`], but a failure is not counted as a refusal, as the caller tries another
     /// account next.
-    pub(crate) fn try_reserve(&self, bytes: usize) -> Result<Reservation, Full> {
+    pub(crate) fn try_reserve(&self, bytes: usize) -> Result<Reservation, CapExceeded> {
         self.try_add(bytes)?;
         Ok(Reservation { account: self.clone(), bytes })
     }
 
     /// Adds bytes that must be held in any case, over the cap if necessary, such as data kept from before a
     /// restart. New reservations fail until the account is below its cap again.
-    pub fn owe(&self, bytes: usize) -> Reservation {
+    pub fn reserve_over_cap(&self, bytes: usize) -> Reservation {
         self.add_over_cap(bytes);
         Reservation { account: self.clone(), bytes }
     }
@@ -119,7 +119,7 @@
     }
 
     /// An empty reservation that can be grown later; never fails.
-    pub fn nothing(&self) -> Reservation {
+    pub fn empty_reservation(&self) -> Reservation {
         Reservation { account: self.clone(), bytes: 0 }
     }
 
@@ -127,7 +127,7 @@
         std::iter::successors(Some(self), |account| account.0.parent.as_ref())
     }
 
-    fn try_add(&self, bytes: usize) -> Result<(), Full> {
+    fn try_add(&self, bytes: usize) -> Result<(), CapExceeded> {
         for account in self.with_ancestors() {
             let node = &account.0;
             let cap = node.cap.load(Relaxed);
@@ -137,7 +137,7 @@
                 Err(used) => {
                     let below = self.with_ancestors().take_while(|below| !below.is(account));
                     below.for_each(|below| _ = below.0.used.fetch_sub(bytes, Relaxed));
-                    return Err(Full { account: account.clone(), asked: bytes, used, cap });
+                    return Err(CapExceeded { account: account.clone(), asked: bytes, used, cap });
                 }
             }
         }
@@ -158,7 +158,7 @@
 
     /// Has `wake` called once, as soon as this many bytes may fit in this account; immediately if they fit
     /// now. Dropping the returned value leaves the queue.
-    pub fn when_room(&self, bytes: usize, wake: impl FnOnce() + Send + 'static) -> Waiting {
+    pub fn notify_when_free(&self, bytes: usize, wake: impl FnOnce() + Send + 'static) -> WaitHandle {
         let number = {
             let mut waiters = self.waiters();
             waiters.next += 1;
@@ -169,7 +169,7 @@
         };
         // Bytes returned before this caller joined the queue have woken nobody.
         self.wake();
-        Waiting { account: self.clone(), number }
+        WaitHandle { account: self.clone(), number }
     }
 
     /// Wakes waiters whose bytes fit, in order of arrival. A large waiter holds up those behind it, so that
@@ -260,12 +260,12 @@
 
 /// A place in the queue for room; dropping it leaves the queue.
 #[derive(Debug)]
-pub struct Waiting {
+pub struct WaitHandle {
     account: Account,
     number: u64,
 }
 
-impl Drop for Waiting {
+impl Drop for WaitHandle {
     fn drop(&mut self) {
         let left = {
             let mut waiters = self.account.waiters();
@@ -298,17 +298,17 @@
     }
 
     /// Grows or shrinks the reservation to `bytes`. Shrinking never fails; a failed growth changes nothing.
-    pub fn resize(&mut self, bytes: usize) -> Result<(), Full> {
+    pub fn resize(&mut self, bytes: usize) -> Result<(), CapExceeded> {
         match bytes.checked_sub(self.bytes) {
-            Some(more) => self.account.try_add(more).inspect_err(Full::count_refusal)?,
+            Some(more) => self.account.try_add(more).inspect_err(CapExceeded::count_refusal)?,
             None => self.account.release(self.bytes - bytes),
         }
         self.bytes = bytes;
         Ok(())
     }
 
-    /// Sets the reservation to `bytes` regardless of the cap; see [`Account::owe`].
-    pub fn owe(&mut self, bytes: usize) {
+    /// Sets the reservation to `bytes` regardless of the cap; see [`Account::reserve_over_cap`].
+    pub fn reserve_over_cap(&mut self, bytes: usize) {
         match bytes.checked_sub(self.bytes) {
             Some(more) => self.account.add_over_cap(more),
             None => self.account.release(self.bytes - bytes),
--- a/crates/ledger/src/account/tests.rs
+++ b/crates/ledger/src/account/tests.rs
@@ -24,7 +24,7 @@
     held.shrink_to(40);
     assert!(account.reserve(10).is_ok());
     assert!(account.reserve(0).is_ok(), "nothing always fits");
-    drop(account.owe(30));
+    drop(account.reserve_over_cap(30));
     assert_eq!((account.used(), account.peak()), (40, 90));
 }
 
@@ -37,7 +37,7 @@
     let (sender, woken) = channel();
     let wait = |name: &'static str, bytes| {
         let sender = sender.clone();
-        account.when_room(bytes, move || sender.send(name).expect("received"))
+        account.notify_when_free(bytes, move || sender.send(name).expect("received"))
     };
     let large = wait("large", 60);
     let _small = wait("small", 10);
--- a/crates/ledger/src/alarm.rs
+++ b/crates/ledger/src/alarm.rs
@@ -15,15 +15,15 @@
     /// Name of the account, with its ancestors.
     pub account: String,
     /// The highest use since the last check, in bytes.
-    pub high: usize,
+    pub recent_peak: usize,
     /// Cap in bytes.
     pub cap: usize,
 }
 
 impl fmt::Display for Warning {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let percent = self.high as f64 / self.cap.max(1) as f64 * 100.0;
-        write!(f, "{} holds {} of {} bytes ({percent:.0}%)", self.account, self.high, self.cap)
+        let percent = self.recent_peak as f64 / self.cap.max(1) as f64 * 100.0;
+        write!(f, "{} holds {} of {} bytes ({percent:.0}%)", self.account, self.recent_peak, self.cap)
     }
 }
 
@@ -39,14 +39,14 @@
     pub fn check<'a>(&mut self, now: Ms, accounts: impl Iterator<Item = &'a Account>) -> Vec<Warning> {
         let mut warnings = Vec::new();
         for account in accounts {
-            let (high, cap) = (account.take_recent_peak(), account.cap());
-            if cap == 0 || (high as f64) < WARNING_FRACTION * cap as f64 {
+            let (recent_peak, cap) = (account.take_recent_peak(), account.cap());
+            if cap == 0 || (recent_peak as f64) < WARNING_FRACTION * cap as f64 {
                 continue;
             }
             let name = account.to_string();
             if self.last_warned.get(&name).is_none_or(|at| now - at >= WARNING_INTERVAL_MS) {
                 self.last_warned.insert(name.clone(), now);
-                warnings.push(Warning { account: name, high, cap });
+                warnings.push(Warning { account: name, recent_peak, cap });
             }
         }
         warnings
--- a/crates/ledger/src/budget.rs
+++ b/crates/ledger/src/budget.rs
@@ -36,12 +36,12 @@
 impl Shares {
     /// The table's shares for a daemon outside the platform.
     pub fn daemon() -> Self {
-        Shares::of(|purpose| purpose.terms().daemon)
+        Shares::of(|purpose| purpose.settings().daemon_percent)
     }
 
     /// The table's shares on the platform.
     pub fn platform() -> Self {
-        Shares::of(|purpose| purpose.terms().platform)
+        Shares::of(|purpose| purpose.settings().platform_percent)
     }
 
     fn of(share: impl Fn(Purpose) -> f64) -> Self {
@@ -122,7 +122,7 @@
         for other in Purpose::all().filter(|other| is_reducible(*other as usize)) {
             let before = self.percent[other as usize];
             let after = before * left / others;
-            let floor = other.terms().floor as f64 * 100.0 / room.max(1) as f64;
+            let floor = other.settings().min_bytes as f64 * 100.0 / room.max(1) as f64;
             if before >= floor && after < floor {
                 let what = format!("{needs}, which leaves too little for {}", other.name());
                 return Err(BudgetError::new(memory_key, what));
@@ -164,7 +164,7 @@
         let room = Budget::room_within(memory, base, reserve);
         let mut caps = [0; Purpose::COUNT];
         for purpose in Purpose::all() {
-            let (percent, floor) = (shares.percent(purpose), purpose.terms().floor);
+            let (percent, floor) = (shares.percent(purpose), purpose.settings().min_bytes);
             let cap = (room as f64 * percent / 100.0) as usize;
             let named = shares.named[purpose as usize];
             // A purpose with a share of 0 is off; any other must reach its minimum.
--- a/crates/ledger/src/budget/tests.rs
+++ b/crates/ledger/src/budget/tests.rs
@@ -23,7 +23,9 @@
 fn shares_of_the_file_are_kept_and_the_others_keep_their_proportions() {
     let shares = shares(&[("calls", 64.0)]).expect("fits");
     assert_eq!(shares.percent(Purpose::Calls), 64.0);
-    let of_rest = |purpose: Purpose| purpose.terms().daemon * 36.0 / (100.0 - Purpose::Calls.terms().daemon);
+    let of_rest = |purpose: Purpose| {
+        purpose.settings().daemon_percent * 36.0 / (100.0 - Purpose::Calls.settings().daemon_percent)
+    };
     let rest = Purpose::all().filter(|purpose| *purpose != Purpose::Calls);
     assert!(rest.into_iter().all(|one| (shares.percent(one) - of_rest(one)).abs() < 1e-9), "{shares:?}");
 }
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -1,5 +1,5 @@
 //! The accounts of one process.
-use crate::account::{Account, Full, Reservation};
+use crate::account::{Account, CapExceeded, Reservation};
 use crate::alarm::{Alarm, Warning};
 use crate::budget::Budget;
 use crate::purpose::Purpose;
@@ -16,7 +16,7 @@
 
 /// The state of one account.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Line {
+pub struct AccountStatus {
     /// Name of the purpose.
     pub purpose: &'static str,
     /// The tenant that the account belongs to; `None` for the account of the whole purpose.
@@ -40,7 +40,7 @@
         let purposes = std::array::from_fn(|index| {
             let purpose = Purpose::all().nth(index).unwrap_or(Purpose::Calls);
             let account = root.child(purpose.name(), budget.cap(purpose));
-            tenancies[index] = purpose.terms().by_tenant.then(|| Tenancy::new(&account, tenants));
+            tenancies[index] = purpose.settings().by_tenant.then(|| Tenancy::new(&account, tenants));
             account
         });
         Ledger { root, purposes, tenancies }
@@ -57,24 +57,24 @@
         purpose: Purpose,
         tenant: Option<usize>,
         bytes: usize,
-    ) -> Result<Reservation, Full> {
+    ) -> Result<Reservation, CapExceeded> {
         match &self.tenancies[purpose as usize] {
             Some(tenancy) => tenancy.reserve(tenant, bytes),
             None => self.account(purpose).reserve(bytes),
         }
     }
 
-    /// Adds bytes that must be held in any case, over the cap if necessary; see [`Account::owe`].
-    pub fn owe(&self, purpose: Purpose, bytes: usize) -> Reservation {
+    /// Adds bytes that must be held in any case, over the cap if necessary; see [`Account::reserve_over_cap`].
+    pub fn reserve_over_cap(&self, purpose: Purpose, bytes: usize) -> Reservation {
         match &self.tenancies[purpose as usize] {
-            Some(tenancy) => tenancy.owe(bytes),
-            None => self.account(purpose).owe(bytes),
+            Some(tenancy) => tenancy.reserve_over_cap(bytes),
+            None => self.account(purpose).reserve_over_cap(bytes),
         }
     }
 
     /// Applies the caps of another budget. Bytes held above a lower cap stay, and new reservations fail until
     /// there is room again.
-    pub fn adopt(&self, budget: &Budget) {
+    pub fn apply_budget(&self, budget: &Budget) {
         self.root.set_cap(budget.room());
         for purpose in Purpose::all() {
             self.account(purpose).set_cap(budget.cap(purpose));
@@ -90,7 +90,7 @@
     }
 
     /// Cap of all accounts together, in bytes.
-    pub fn room(&self) -> usize {
+    pub fn total_cap(&self) -> usize {
         self.root.cap()
     }
 
@@ -101,8 +101,8 @@
     }
 
     /// The state of all accounts in use, each purpose before its tenants.
-    pub fn lines(&self) -> Vec<Line> {
-        let line = |purpose: Purpose, account: &Account, tenant: Option<String>| Line {
+    pub fn statuses(&self) -> Vec<AccountStatus> {
+        let status = |purpose: Purpose, account: &Account, tenant: Option<String>| AccountStatus {
             purpose: purpose.name(),
             tenant,
             cap: account.cap(),
@@ -110,11 +110,12 @@
             peak: account.peak(),
             refused: account.refused(),
         };
-        let lines = |purpose: Purpose| {
-            let parts = self.tenants(purpose).map(move |part| line(purpose, part, Some(part.name().into())));
-            std::iter::once(line(purpose, self.account(purpose), None)).chain(parts)
+        let statuses = |purpose: Purpose| {
+            let parts =
+                self.tenants(purpose).map(move |part| status(purpose, part, Some(part.name().into())));
+            std::iter::once(status(purpose, self.account(purpose), None)).chain(parts)
         };
-        Purpose::all().flat_map(lines).filter(|line| line.cap > 0 || line.used > 0).collect()
+        Purpose::all().flat_map(statuses).filter(|status| status.cap > 0 || status.used > 0).collect()
     }
 
     /// Warnings about accounts that came close to their caps since the last check; `now` is in milliseconds.
--- a/crates/ledger/src/ledger/tests.rs
+++ b/crates/ledger/src/ledger/tests.rs
@@ -15,7 +15,7 @@
 fn every_purpose_and_part_is_seen() {
     let ledger = Ledger::new(&budget(128), &tenants());
     let _held = ledger.reserve(Purpose::Keys, Some(1), KIB).expect("room");
-    let lines = ledger.lines();
+    let lines = ledger.statuses();
     let seen = |purpose: &str, tenant: Option<&str>| {
         let line = lines.iter().find(|line| line.purpose == purpose && line.tenant.as_deref() == tenant);
         line.map(|line| line.used)
@@ -35,13 +35,13 @@
     let take = || ledger.reserve(Purpose::Calls, Some(0), 100 * KIB);
     let mut held: Vec<_> = std::iter::from_fn(|| take().ok()).collect();
     let before = ledger.held();
-    ledger.adopt(&budget(64));
+    ledger.apply_budget(&budget(64));
     assert_eq!(ledger.held(), before);
     while take().is_err() {
         assert!(held.pop().is_some(), "there is room before everything is released");
     }
     assert!(ledger.account(Purpose::Calls).used() <= ledger.account(Purpose::Calls).cap());
-    ledger.adopt(&budget(128));
+    ledger.apply_budget(&budget(128));
     assert!(take().is_ok());
     drop(held);
     assert_eq!(ledger.held(), 0);
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -3,7 +3,7 @@
 //! An [`Account`] counts bytes against a cap and has a parent that counts them too, so that the part of a
 //! purpose, or of a tenant within it, can be observed and capped separately. A [`Reservation`] is taken
 //! before memory is allocated and returns its bytes when dropped. A [`Budget`] divides the memory of a
-//! process into caps that add up. [`pressure::decide`] returns what to do when an account is full, by the
+//! process into caps that add up. [`pressure::decide_at_cap`] returns what to do when an account is full, by the
 //! table of [`Purpose`]s. A [`Ledger`] holds all accounts of one process.
 //!
 //! The crate does no I/O, reads no clock and starts no thread. Callers that wait for room pass a closure that
@@ -19,11 +19,11 @@
 mod purpose;
 mod tenancy;
 
-pub use account::{Account, Full, Reservation, Waiting};
+pub use account::{Account, CapExceeded, Reservation, WaitHandle};
 pub use alarm::{Alarm, Warning};
 pub use budget::{Budget, BudgetError, Shares};
-pub use ledger::{Ledger, Line};
-pub use purpose::{Answer, Purpose, Terms};
+pub use ledger::{AccountStatus, Ledger};
+pub use purpose::{CapPolicy, Purpose, PurposeSettings};
 pub use tenancy::{Tenancy, TenantShare};
 
 /// A point in time or a span, in milliseconds.
--- a/crates/ledger/src/pressure.rs
+++ b/crates/ledger/src/pressure.rs
@@ -1,6 +1,6 @@
 //! Decides what to do when an account is full: applies the rule that the table of [`Purpose`]s gives for the
 //! purpose.
-use crate::purpose::{Answer, Purpose};
+use crate::purpose::{CapPolicy, Purpose};
 use crate::Ms;
 
 /// Longest time for which reading from a sender is paused; after that its connection is closed.
@@ -15,7 +15,7 @@
 
 /// A reservation that did not fit.
 #[derive(Clone, Copy, Debug)]
-pub struct Case {
+pub struct FullAccount {
     /// Purpose of the reservation.
     pub purpose: Purpose,
     /// Bytes asked for.
@@ -51,21 +51,21 @@
 }
 
 /// Decides what to do about a reservation that did not fit.
-pub fn decide(case: &Case) -> Decision {
+pub fn decide_at_cap(case: &FullAccount) -> Decision {
     // A reservation that can never fit is not worth waiting or evicting for.
     if case.asked > case.cap {
         return Decision::Refuse { retry_after: None };
     }
-    match case.purpose.terms().at_cap {
-        Answer::Evict if case.idle > 0 => Decision::Evict { bytes: case.asked.min(case.idle) },
-        Answer::Slow if case.waited < MAX_READ_PAUSE_MS => {
+    match case.purpose.settings().at_cap {
+        CapPolicy::Evict if case.idle > 0 => Decision::Evict { bytes: case.asked.min(case.idle) },
+        CapPolicy::PauseReading if case.waited < MAX_READ_PAUSE_MS => {
             Decision::Wait { at_most: MAX_READ_PAUSE_MS - case.waited }
         }
         _ => Decision::Refuse { retry_after: Some(retry_after(case)) },
     }
 }
 
-fn retry_after(case: &Case) -> Ms {
+fn retry_after(case: &FullAccount) -> Ms {
     match (case.purpose, case.frees_in) {
         (Purpose::Catalog | Purpose::Roster, None) => OPERATOR_RETRY_MS,
         (_, Some(span)) => span.clamp(MIN_RETRY_MS, MAX_RETRY_MS),
--- a/crates/ledger/src/purpose.rs
+++ b/crates/ledger/src/purpose.rs
@@ -3,14 +3,14 @@
 
 /// What happens when an account is full.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum CapPolicy {
     /// The work is refused, with advice when to retry.
     Refuse,
     /// Memory that nothing needs is evicted, least recently used first; if there is none, the new entry is
     /// refused.
     Evict,
     /// Reading from the sender is paused until there is room, for a limited time.
-    Slow,
+    PauseReading,
 }
 
 /// What memory is held for.
@@ -46,50 +46,50 @@
 
 /// The settings of one purpose.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct PurposeSettings {
     /// The purpose.
     pub purpose: Purpose,
     /// Its name in files, logs and metrics.
     pub name: &'static str,
     /// What happens when an account is full.
-    pub at_cap: Answer,
+    pub at_cap: CapPolicy,
     /// Default share of the budget of a daemon, in percent.
-    pub daemon: f64,
+    pub daemon_percent: f64,
     /// Default share on the platform, where nothing is deferred, keyed, logged or replicated, in percent.
-    pub platform: f64,
+    pub platform_percent: f64,
     /// Smallest useful cap, in bytes; a configuration with a smaller one is rejected.
-    pub floor: usize,
+    pub min_bytes: usize,
     /// Whether the account is split between tenants.
     pub by_tenant: bool,
 }
 
-const fn terms(
+const fn settings(
     purpose: Purpose,
     name: &'static str,
-    at_cap: Answer,
-    (daemon, platform): (f64, f64),
-    floor: usize,
-) -> Terms {
+    at_cap: CapPolicy,
+    (daemon_percent, platform_percent): (f64, f64),
+    min_bytes: usize,
+) -> PurposeSettings {
     let by_tenant =
         matches!(purpose, Purpose::Calls | Purpose::DeferredOpen | Purpose::DeferredFinal | Purpose::Keys);
-    Terms { purpose, name, at_cap, daemon, platform, floor, by_tenant }
+    PurposeSettings { purpose, name, at_cap, daemon_percent, platform_percent, min_bytes, by_tenant }
 }
 
 /// The table of purposes, in the order of [`Purpose`].
-const TABLE: [Terms; 13] = [
-    terms(Purpose::Calls, "calls", Answer::Refuse, (31.0, 58.0), 512 * KIB),
-    terms(Purpose::Clients, "clients", Answer::Slow, (9.0, 15.0), 256 * KIB),
-    terms(Purpose::Workers, "workers", Answer::Slow, (9.0, 12.0), 256 * KIB),
-    terms(Purpose::Roster, "roster", Answer::Evict, (2.0, 2.0), 64 * KIB),
-    terms(Purpose::Learnt, "learnt", Answer::Evict, (6.0, 10.0), 256 * KIB),
-    terms(Purpose::Catalog, "catalog", Answer::Refuse, (5.0, 0.0), 64 * KIB),
-    terms(Purpose::DeferredOpen, "deferred-open", Answer::Refuse, (4.0, 0.0), 128 * KIB),
-    terms(Purpose::DeferredFinal, "deferred-final", Answer::Refuse, (12.0, 0.0), 256 * KIB),
-    terms(Purpose::Keys, "keys", Answer::Refuse, (15.0, 0.0), 256 * KIB),
-    terms(Purpose::Log, "log", Answer::Refuse, (2.0, 0.0), 320 * KIB),
-    terms(Purpose::Replication, "replication", Answer::Refuse, (3.0, 0.0), 320 * KIB),
-    terms(Purpose::Timers, "timers", Answer::Refuse, (1.0, 2.0), 64 * KIB),
-    terms(Purpose::Operators, "operators", Answer::Slow, (1.0, 1.0), 32 * KIB),
+const TABLE: [PurposeSettings; 13] = [
+    settings(Purpose::Calls, "calls", CapPolicy::Refuse, (31.0, 58.0), 512 * KIB),
+    settings(Purpose::Clients, "clients", CapPolicy::PauseReading, (9.0, 15.0), 256 * KIB),
+    settings(Purpose::Workers, "workers", CapPolicy::PauseReading, (9.0, 12.0), 256 * KIB),
+    settings(Purpose::Roster, "roster", CapPolicy::Evict, (2.0, 2.0), 64 * KIB),
+    settings(Purpose::Learnt, "learnt", CapPolicy::Evict, (6.0, 10.0), 256 * KIB),
+    settings(Purpose::Catalog, "catalog", CapPolicy::Refuse, (5.0, 0.0), 64 * KIB),
+    settings(Purpose::DeferredOpen, "deferred-open", CapPolicy::Refuse, (4.0, 0.0), 128 * KIB),
+    settings(Purpose::DeferredFinal, "deferred-final", CapPolicy::Refuse, (12.0, 0.0), 256 * KIB),
+    settings(Purpose::Keys, "keys", CapPolicy::Refuse, (15.0, 0.0), 256 * KIB),
+    settings(Purpose::Log, "log", CapPolicy::Refuse, (2.0, 0.0), 320 * KIB),
+    settings(Purpose::Replication, "replication", CapPolicy::Refuse, (3.0, 0.0), 320 * KIB),
+    settings(Purpose::Timers, "timers", CapPolicy::Refuse, (1.0, 2.0), 64 * KIB),
+    settings(Purpose::Operators, "operators", CapPolicy::PauseReading, (1.0, 1.0), 32 * KIB),
 ];
 
 impl Purpose {
@@ -98,17 +98,17 @@
 
     /// All purposes, in the order of the table.
     pub fn all() -> impl Iterator<Item = Purpose> {
-        TABLE.iter().map(|terms| terms.purpose)
+        TABLE.iter().map(|settings| settings.purpose)
     }
 
     /// The table entry of the purpose.
-    pub fn terms(self) -> &'static Terms {
+    pub fn settings(self) -> &'static PurposeSettings {
         &TABLE[self as usize]
     }
 
     /// Its name in files, logs and metrics.
     pub fn name(self) -> &'static str {
-        self.terms().name
+        self.settings().name
     }
 
     /// Finds a purpose by name.
--- a/crates/ledger/src/tenancy.rs
+++ b/crates/ledger/src/tenancy.rs
@@ -4,7 +4,7 @@
 //! split by share, and the rest is common, first come first served. A tenant uses its own part first, then
 //! the common one. Idle parts are not lent to other tenants: that would use memory better at low load, but a
 //! tenant whose part is lent out would have to wait until the borrower's calls end.
-use crate::account::{Account, Full, Reservation};
+use crate::account::{Account, CapExceeded, Reservation};
 
 /// Fraction of an account that is split between tenants; the rest is common.
 const SPLIT_FRACTION: f64 = 0.75;
@@ -55,7 +55,7 @@
     }
 
     /// Reserves bytes for a tenant; for an unknown tenant, from the common part.
-    pub fn reserve(&self, tenant: Option<usize>, bytes: usize) -> Result<Reservation, Full> {
+    pub fn reserve(&self, tenant: Option<usize>, bytes: usize) -> Result<Reservation, CapExceeded> {
         let Some(own) = tenant.and_then(|tenant| self.own.get(tenant)) else {
             return self.common.reserve(bytes);
         };
@@ -72,9 +72,9 @@
         })
     }
 
-    /// Adds bytes that must be held in any case to the common part; see [`Account::owe`].
-    pub fn owe(&self, bytes: usize) -> Reservation {
-        self.common.owe(bytes)
+    /// Adds bytes that must be held in any case to the common part; see [`Account::reserve_over_cap`].
+    pub fn reserve_over_cap(&self, bytes: usize) -> Reservation {
+        self.common.reserve_over_cap(bytes)
     }
 
     /// The accounts of the tenants, and the common one last.
--- a/crates/node/src/core/invoker.rs
+++ b/crates/node/src/core/invoker.rs
@@ -19,8 +19,8 @@
 use crate::timers;
 use corkbay::{Dispatcher, Event, ModelId, Ms, Names, RequestId, Settings};
 use corkbay_duty::{HostOverrides, Leave, LeaveSchedule, ServingState};
-use corkbay_ledger::pressure::{decide, Case, Decision};
-use corkbay_ledger::{Full, Ledger, Purpose, Reservation};
+use corkbay_ledger::pressure::{decide_at_cap, Decision, FullAccount};
+use corkbay_ledger::{CapExceeded, Ledger, Purpose, Reservation};
 use may::sync::{mpsc, Condvar, Mutex};
 pub use messages::Inbox;
 use messages::TaskMessage;
@@ -113,7 +113,7 @@
         let classes = setup["classes"].as_array().map(Vec::as_slice).unwrap_or_default();
         let give_up = classes.iter().map(|class| class["giveUpMs"].as_f64().unwrap_or(1000.0)).collect();
         let dispatcher = Dispatcher::new(settings.clone(), seed);
-        let learnt = ledger.account(Purpose::Learnt).nothing();
+        let learnt = ledger.account(Purpose::Learnt).empty_reservation();
         let core = DispatcherState { dispatcher, inboxes: HashMap::new(), learnt };
         let directory = Directory::new(&names, ledger.account(Purpose::Roster));
         let counters = Counters::new(workers.dials());
@@ -219,7 +219,7 @@
         if excess > 0 {
             core.dispatcher.evict_state(excess);
         }
-        core.learnt.owe(core.dispatcher.table_sizes().bytes);
+        core.learnt.reserve_over_cap(core.dispatcher.table_sizes().bytes);
     }
 
     /// Withdraws a request: its client no longer waits.
@@ -332,9 +332,9 @@
     }
 }
 
-fn no_memory(purpose: Purpose, full: &Full) -> NotTaken {
+fn no_memory(purpose: Purpose, full: &CapExceeded) -> NotTaken {
     let (asked, cap) = (full.asked, full.cap);
-    match decide(&Case { purpose, asked, cap, idle: 0, frees_in: None, waited: 0.0 }) {
+    match decide_at_cap(&FullAccount { purpose, asked, cap, idle: 0, frees_in: None, waited: 0.0 }) {
         Decision::Refuse { retry_after: Some(span) } => NotTaken::Crowded(span),
         _ => NotTaken::Crowded(0.0),
     }
@@ -343,13 +343,13 @@
 impl DispatcherState {
     /// Reserves memory for a model that is to be called. If there is none left, the dispatcher forgets models:
     /// those that were never loaded first, then the least recently used.
-    fn reserve_model(&mut self, model: ModelId) -> Result<(), Full> {
+    fn reserve_model(&mut self, model: ModelId) -> Result<(), CapExceeded> {
         let asked = self.dispatcher.model_cost_bytes(model);
         let grown_bytes = |core: &DispatcherState| core.learnt.bytes() + asked;
         let Err(full) = self.learnt.resize(grown_bytes(self)) else { return Ok(()) };
         let (purpose, cap, idle) = (Purpose::Learnt, full.cap, self.learnt.bytes());
-        let case = Case { purpose, asked, cap, idle, frees_in: None, waited: 0.0 };
-        if let Decision::Evict { bytes } = decide(&case) {
+        let case = FullAccount { purpose, asked, cap, idle, frees_in: None, waited: 0.0 };
+        if let Decision::Evict { bytes } = decide_at_cap(&case) {
             // Forgets a larger part at a time, so that not every new model has to search for something to
             // forget.
             self.dispatcher.evict_state(bytes.max(cap / FORGET_DIVISOR));
--- a/crates/node/src/core/invoker/actions.rs
+++ b/crates/node/src/core/invoker/actions.rs
@@ -66,7 +66,7 @@
         // The recurring timer keeps the dispatcher running, so it is started over the cap. If another timer
         // is dropped, its work is done when the recurring timer fires next.
         let reservation = if token == RECURRING_TIMER_TOKEN {
-            Ok(account.owe(TASK_STACK_BYTES))
+            Ok(account.reserve_over_cap(TASK_STACK_BYTES))
         } else {
             account.reserve(TASK_STACK_BYTES)
         };
--- a/crates/node/src/core/invoker/request.rs
+++ b/crates/node/src/core/invoker/request.rs
@@ -137,7 +137,7 @@
             // The answer must still be written before the deadline.
             let left_ms = (self.call.request.expires - monotonic_ms()) / 2.0;
             room::wait(&full.account, full.asked, left_ms.clamp(0.0, MAX_ANSWER_WAIT_MS));
-            reservation.owe(bytes);
+            reservation.reserve_over_cap(bytes);
         }
     }
 
--- a/crates/node/src/life/accounts.rs
+++ b/crates/node/src/life/accounts.rs
@@ -134,7 +134,7 @@
             invoker.measure();
             for warning in invoker.ledger().warnings(&mut alarm, monotonic_ms()) {
                 tracing::warn!(
-                    account = %warning.account, high = warning.high, cap = warning.cap, "close to its cap"
+                    account = %warning.account, high = warning.recent_peak, cap = warning.cap, "close to its cap"
                 );
             }
         }
@@ -145,7 +145,7 @@
 pub fn log(invoker: &Invoker) {
     let (resident, held) = (resident_bytes(), invoker.ledger().held());
     tracing::info!(resident, held, unaccounted = resident.saturating_sub(held), "memory");
-    for line in invoker.ledger().lines() {
+    for line in invoker.ledger().statuses() {
         let tenant = line.tenant.as_deref().unwrap_or("all");
         let (used, peak, cap, refused) = (line.used, line.peak, line.cap, line.refused);
         tracing::info!(purpose = line.purpose, tenant, used, peak, cap, refused, "account");
--- a/crates/node/src/life/platform.rs
+++ b/crates/node/src/life/platform.rs
@@ -96,7 +96,7 @@
     /// Applies the current limits to the ledger and to the connections.
     fn adopt(&self) -> Result<(), ConfigError> {
         let (memory, parts) = (self.memory_mb.load(Ordering::Relaxed), self.parts.load(Ordering::Relaxed));
-        self.ledger.adopt(&budget(memory, self.base_bytes, parts, self.fleet_size())?);
+        self.ledger.apply_budget(&budget(memory, self.base_bytes, parts, self.fleet_size())?);
         let (clients, to_workers) = split_descriptors(self.sockets / parts);
         self.workers.set_most(to_workers);
         self.acceptor.get().into_iter().for_each(|acceptor| acceptor.set_most(clients));
--- a/crates/node/src/life/service.rs
+++ b/crates/node/src/life/service.rs
@@ -102,7 +102,7 @@
     // A reload applies functions, workers and memory caps; all other settings take effect at the next start.
     let reload = || {
         let next = Deploy::load(path)?;
-        ledger.adopt(&accounts::deploy_budget(&next.memory_settings(), base_bytes)?);
+        ledger.apply_budget(&accounts::deploy_budget(&next.memory_settings(), base_bytes)?);
         seed(&api.catalog, &next)?;
         api.catalog.announce(&api.invoker);
         Ok(())
--- a/crates/node/src/memory/invocations.rs
+++ b/crates/node/src/memory/invocations.rs
@@ -163,7 +163,7 @@
             if let Some(key) = key.filter(|_| answer.as_ref().is_some_and(may_have_run)) {
                 let key = (function, key);
                 let size = key_size(&key) + answer.as_ref().map_or(0, answer_size);
-                let held = invocations.store.ledger().owe(Purpose::Keys, size);
+                let held = invocations.store.ledger().reserve_over_cap(Purpose::Keys, size);
                 let entry = KeyEntry { id, body_check, until, answer, held };
                 lock(&invocations.keys).entries.insert(key, entry);
             }
@@ -179,8 +179,10 @@
 
     /// Reserves memory for the final record of a call that an earlier process accepted, even above the account's cap.
     pub fn promise_again(&self, deferred: &Deferred) -> Promise {
-        let reservation =
-            self.store.ledger().owe(Purpose::DeferredFinal, self.max_answer_bytes.div_ceil(3) * 4);
+        let reservation = self
+            .store
+            .ledger()
+            .reserve_over_cap(Purpose::DeferredFinal, self.max_answer_bytes.div_ceil(3) * 4);
         Promise { deferred: deferred.clone(), reservation }
     }
 
--- a/crates/node/src/memory/log.rs
+++ b/crates/node/src/memory/log.rs
@@ -3,7 +3,7 @@
 //! The file is written by a dedicated thread, as coroutines must not block on disk I/O; callers wait on channels of the
 //! coroutine library. The memory of queued writes is charged to an account.
 use super::record::Record;
-use corkbay_ledger::{Account, Full, Reservation};
+use corkbay_ledger::{Account, CapExceeded, Reservation};
 use may::sync::mpsc as coroutine_mpsc;
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, BufReader, BufWriter, Read, Seek, SeekFrom, Write};
@@ -26,7 +26,7 @@
     Io(String),
     /// The queued writes would exceed their memory account.
     #[error("log: {0}")]
-    Full(#[from] Full),
+    Full(#[from] CapExceeded),
 }
 
 impl From<io::Error> for LogError {
--- a/crates/node/src/memory/room.rs
+++ b/crates/node/src/memory/room.rs
@@ -2,7 +2,7 @@
 use crate::clock::monotonic_ms;
 use crate::timers;
 use corkbay::Ms;
-use corkbay_ledger::pressure::{decide, Case, Decision};
+use corkbay_ledger::pressure::{decide_at_cap, Decision, FullAccount};
 use corkbay_ledger::{Account, Purpose, Reservation};
 use may::sync::mpsc;
 use std::io::{self, ErrorKind};
@@ -18,7 +18,7 @@
     loop {
         let Err(full) = held.resize(bytes) else { return Ok(()) };
         let (asked, cap, waited) = (full.asked, full.cap, monotonic_ms() - started);
-        match decide(&Case { purpose, asked, cap, idle: 0, frees_in: None, waited }) {
+        match decide_at_cap(&FullAccount { purpose, asked, cap, idle: 0, frees_in: None, waited }) {
             Decision::Wait { at_most } => wait(&full.account, asked, at_most),
             Decision::Evict { .. } | Decision::Refuse { .. } => return Err(NO_ROOM.into()),
         }
@@ -28,6 +28,6 @@
 /// Waits until `bytes` may fit in the account, at most `at_most` milliseconds.
 pub fn wait(account: &Account, bytes: usize, at_most: Ms) {
     let (sender, free_memory) = mpsc::channel();
-    let _waiter = account.when_room(bytes, move || _ = sender.send(()));
+    let _waiter = account.notify_when_free(bytes, move || _ = sender.send(()));
     let _ = timers::receive(&free_memory, Duration::from_secs_f64(at_most.max(1.0) / 1000.0));
 }
--- a/crates/node/src/memory/roster.rs
+++ b/crates/node/src/memory/roster.rs
@@ -4,7 +4,7 @@
 use crate::clock::{monotonic_ms, UnixTime};
 use corkbay::{position, Ms, Names, RosterEntry, RosterUpdate, WorkerId, WorkerState};
 use corkbay_duty::HostOverrides;
-use corkbay_ledger::pressure::{decide, Case, Decision};
+use corkbay_ledger::pressure::{decide_at_cap, Decision, FullAccount};
 use corkbay_ledger::{Account, Purpose, Reservation};
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -139,11 +139,11 @@
             hosts: HashMap::new(),
             ids_by_name: HashMap::new(),
             next_id: 0,
-            held: account.nothing(),
+            held: account.empty_reservation(),
             gone: VecDeque::new(),
             forgotten: VecDeque::new(),
             host_overrides: HostOverrides::default(),
-            host_overrides_held: account.nothing(),
+            host_overrides_held: account.empty_reservation(),
         }
     }
 
@@ -186,7 +186,7 @@
     /// Replaces the operators' overrides on all hosts; returns the roster entries of the hosts whose override has changed.
     pub fn adopt(&mut self, host_overrides: HostOverrides) -> RosterUpdate {
         let before = std::mem::replace(&mut self.host_overrides, host_overrides);
-        self.host_overrides_held.owe(self.host_overrides.bytes());
+        self.host_overrides_held.reserve_over_cap(self.host_overrides.bytes());
         let changed = self.hosts.values().filter(|known| {
             let override_of = |host_overrides: &HostOverrides| {
                 (host_overrides.is_suspended(&known.host.name), host_overrides.resumed_at(&known.host.name))
@@ -262,7 +262,7 @@
             let Err(full) = self.held.resize(self.held.bytes() + asked) else { return true };
             let idle = self.gone.len() * asked;
             let (purpose, cap) = (Purpose::Roster, full.cap);
-            match decide(&Case { purpose, asked, cap, idle, frees_in: None, waited: 0.0 }) {
+            match decide_at_cap(&FullAccount { purpose, asked, cap, idle, frees_in: None, waited: 0.0 }) {
                 Decision::Evict { .. } => self.drop_longest_gone(),
                 Decision::Wait { .. } | Decision::Refuse { .. } => return false,
             }
--- a/crates/node/src/memory/store/batch.rs
+++ b/crates/node/src/memory/store/batch.rs
@@ -48,7 +48,7 @@
         let records: Vec<Record> = prepared.iter().map(|prepared| prepared.record.clone()).collect();
         self.append(&records)?;
         for (draft, Prepared { record, held }) in drafts.iter_mut().zip(prepared) {
-            let over_cap = || self.ledger.owe(record.purpose(), record.size());
+            let over_cap = || self.ledger.reserve_over_cap(record.purpose(), record.size());
             let held = draft.held.take().or(held).unwrap_or_else(over_cap);
             self.apply(&mut expiry, record, held);
         }
@@ -71,7 +71,7 @@
         // is full.
         let may_exceed_cap = old_size.is_some_and(|old_size| draft.may_exceed_cap || size <= old_size);
         let held = if may_exceed_cap {
-            self.ledger.owe(purpose, size)
+            self.ledger.reserve_over_cap(purpose, size)
         } else {
             self.reserve_or_expire(expiry, purpose, || self.ledger.reserve(purpose, None, size))?
         };
--- a/crates/node/src/memory/store/error.rs
+++ b/crates/node/src/memory/store/error.rs
@@ -1,8 +1,8 @@
 //! Errors of the store.
 use crate::memory::log::LogError;
 use corkbay::Ms;
-use corkbay_ledger::pressure::{decide, Case, Decision};
-use corkbay_ledger::{Full, Purpose};
+use corkbay_ledger::pressure::{decide_at_cap, Decision, FullAccount};
+use corkbay_ledger::{CapExceeded, Purpose};
 use std::sync::Arc;
 
 /// Why a write failed.
@@ -35,7 +35,7 @@
     #[error("there is no room: {full}")]
     Full {
         /// Which account was full.
-        full: Full,
+        full: CapExceeded,
         /// Suggested delay before a retry, in milliseconds; `None` if a retry won't help.
         retry_after: Option<Ms>,
     },
@@ -46,11 +46,12 @@
 
 /// The error for a full account, with the retry delay that the account's purpose calls for. `frees_in` is the time
 /// until memory is released, in milliseconds, if known.
-pub fn refuse(purpose: Purpose, full: Full, frees_in: Option<Ms>) -> StoreError {
+pub fn refuse(purpose: Purpose, full: CapExceeded, frees_in: Option<Ms>) -> StoreError {
     let (asked, cap) = (full.asked, full.cap);
-    let retry_after = match decide(&Case { purpose, asked, cap, idle: 0, frees_in, waited: 0.0 }) {
-        Decision::Refuse { retry_after } => retry_after,
-        Decision::Evict { .. } | Decision::Wait { .. } => None,
-    };
+    let retry_after =
+        match decide_at_cap(&FullAccount { purpose, asked, cap, idle: 0, frees_in, waited: 0.0 }) {
+            Decision::Refuse { retry_after } => retry_after,
+            Decision::Evict { .. } | Decision::Wait { .. } => None,
+        };
     StoreError::Full { full, retry_after }
 }
--- a/crates/node/src/memory/store/expiry.rs
+++ b/crates/node/src/memory/store/expiry.rs
@@ -5,7 +5,7 @@
 use crate::memory::keys::is_node_local;
 use crate::memory::record::Record;
 use corkbay::Ms;
-use corkbay_ledger::{Full, Purpose, Reservation};
+use corkbay_ledger::{CapExceeded, Purpose, Reservation};
 use std::ops::Bound;
 use std::sync::Arc;
 
@@ -55,7 +55,7 @@
         &self,
         expiry: &mut ExpiryState,
         purpose: Purpose,
-        mut reserve: impl FnMut() -> Result<T, Full>,
+        mut reserve: impl FnMut() -> Result<T, CapExceeded>,
     ) -> Result<T, StoreError> {
         let now = monotonic_ms();
         let full = match reserve() {
--- a/crates/node/src/memory/store/merge.rs
+++ b/crates/node/src/memory/store/merge.rs
@@ -5,7 +5,7 @@
 use crate::core::{lock, UnixTime};
 use crate::memory::keys::is_node_local;
 use crate::memory::record::{Record, Stamp, Text};
-use corkbay_ledger::{Full, Reservation};
+use corkbay_ledger::{CapExceeded, Reservation};
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -65,7 +65,7 @@
             }
         }
         let note = self.next_note(&expiry, note_key, note);
-        let note_held = self.ledger.owe(note.purpose(), note.size());
+        let note_held = self.ledger.reserve_over_cap(note.purpose(), note.size());
         let records: Vec<Record> =
             new_records.iter().map(|(record, _)| record.clone()).chain([note.clone()]).collect();
         self.append_in_pages(&records)?;
@@ -99,10 +99,10 @@
 
     /// Reserves memory for a record of another node. Updates of known keys are accepted even if the account is full, so
     /// that a worker can always be drained.
-    fn reserve_merged(&self, record: &Record) -> Result<Reservation, Full> {
+    fn reserve_merged(&self, record: &Record) -> Result<Reservation, CapExceeded> {
         let is_known = lock(&self.records).contains_key(&record.key);
         if is_known {
-            return Ok(self.ledger.owe(record.purpose(), record.size()));
+            return Ok(self.ledger.reserve_over_cap(record.purpose(), record.size()));
         }
         self.ledger.reserve(record.purpose(), None, record.size())
     }
--- a/crates/node/src/memory/store/mod.rs
+++ b/crates/node/src/memory/store/mod.rs
@@ -120,7 +120,7 @@
             if is_foreign_seed(&record.key, node) {
                 return;
             }
-            let held = store.ledger.owe(record.purpose(), record.size());
+            let held = store.ledger.reserve_over_cap(record.purpose(), record.size());
             let keep_until = match record.expires {
                 never if never.is_none() => Ms::INFINITY,
                 expires => kept.keep_until(expires, now),
--- a/crates/node/src/wire/accept.rs
+++ b/crates/node/src/wire/accept.rs
@@ -86,7 +86,7 @@
     pub fn open(address: SocketAddr, limits: ConnectionLimits) -> std::io::Result<Arc<Self>> {
         let listener = bind(address)?;
         let slots = Arc::new(Slots::new(limits.most));
-        let spare_memory = limits.account.owe(MAX_SPARE_SLOTS * CONNECTION_BYTES);
+        let spare_memory = limits.account.reserve_over_cap(MAX_SPARE_SLOTS * CONNECTION_BYTES);
         Ok(Arc::new(Acceptor {
             listener,
             limits,
@@ -205,7 +205,7 @@
     pub fn take_over(&self, stream: TcpStream) -> std::io::Result<Arc<Connection>> {
         let socket = Socket::adopt(stream, self.limits.stall)?;
         self.slots.take_over();
-        let slot = self.slot(SlotKind::Regular, self.limits.account.owe(CONNECTION_BYTES));
+        let slot = self.slot(SlotKind::Regular, self.limits.account.reserve_over_cap(CONNECTION_BYTES));
         let connection = Connection::new(socket, &self.clients, slot, monotonic_ms());
         lock(&self.clients).answered(connection.number(), monotonic_ms());
         Ok(connection)
@@ -270,7 +270,7 @@
             let refuse_from = all_busy_since + EVICTION_WAIT_MS;
             if now >= refuse_from.min(until) && eviction == Err(NoneIdle::Busy) {
                 if self.slots.take_spare() {
-                    return Some(self.slot(SlotKind::Spare, self.limits.account.nothing()));
+                    return Some(self.slot(SlotKind::Spare, self.limits.account.empty_reservation()));
                 }
                 let _ = self.evict_idle(&self.beyond_limit);
             }
@@ -300,7 +300,7 @@
             return Err(MissingResource::Slot);
         }
         // Dropping the slot releases it if the memory can't be reserved.
-        let mut slot = self.slot(SlotKind::Regular, self.limits.account.nothing());
+        let mut slot = self.slot(SlotKind::Regular, self.limits.account.empty_reservation());
         match slot.memory.resize(CONNECTION_BYTES) {
             Ok(()) => Ok(slot),
             Err(full) => Err(MissingResource::Memory(full.account)),
--- a/crates/node/src/wire/framing.rs
+++ b/crates/node/src/wire/framing.rs
@@ -3,7 +3,7 @@
 //! The header holds the length of the text in bytes and its CRC32, both big-endian. Memory for a message is
 //! reserved in an account before it is read or written, so a peer can't make a node hold more than the account
 //! allows.
-use corkbay_ledger::{Account, Full, Reservation};
+use corkbay_ledger::{Account, CapExceeded, Reservation};
 use serde::{de::DeserializeOwned, Serialize};
 use std::io::{self, ErrorKind, Read, Write};
 
@@ -37,7 +37,7 @@
     Malformed(#[from] serde_json::Error),
     /// The account has no room for the message.
     #[error("no room for a message: {0}")]
-    Full(#[from] Full),
+    Full(#[from] CapExceeded),
 }
 
 impl FramingError {
@@ -134,11 +134,11 @@
 
 /// Distinguishes a full account from an error of the connection.
 fn framing_error_of(error: io::Error) -> FramingError {
-    let is_full = error.get_ref().is_some_and(|inner| inner.is::<Full>());
+    let is_full = error.get_ref().is_some_and(|inner| inner.is::<CapExceeded>());
     if !is_full {
         return FramingError::Io(error);
     }
-    match error.into_inner().and_then(|inner| inner.downcast::<Full>().ok()) {
+    match error.into_inner().and_then(|inner| inner.downcast::<CapExceeded>().ok()) {
         Some(full) => FramingError::Full(*full),
         None => FramingError::Io(ErrorKind::OutOfMemory.into()),
     }
@@ -152,7 +152,7 @@
 
 impl AccountedBytes {
     fn new(account: &Account) -> Self {
-        AccountedBytes { bytes: Vec::new(), held: account.nothing() }
+        AccountedBytes { bytes: Vec::new(), held: account.empty_reservation() }
     }
 }
 
--- a/crates/node/src/wire/front.rs
+++ b/crates/node/src/wire/front.rs
@@ -133,7 +133,7 @@
         spawn(move || {
             // The connection may have ended already, or the client may have cancelled the request.
             let Some(connection) = connection.upgrade() else { return };
-            let held = connection.account().owe(bytes.len());
+            let held = connection.account().reserve_over_cap(bytes.len());
             connection.finish_request(seqid, bytes, || lock(&open_requests).remove(&seqid).is_some(), held);
         });
     }
--- a/crates/node/src/wire/index.rs
+++ b/crates/node/src/wire/index.rs
@@ -222,8 +222,9 @@
 impl HeldByPurpose {
     fn add(&mut self, purpose: Purpose) {
         let ledger = &self.ledger;
-        let held = self.reservations.entry(purpose).or_insert_with(|| ledger.account(purpose).nothing());
-        held.owe(held.bytes() + ENTRY_BYTES);
+        let held =
+            self.reservations.entry(purpose).or_insert_with(|| ledger.account(purpose).empty_reservation());
+        held.reserve_over_cap(held.bytes() + ENTRY_BYTES);
     }
 
     fn remove(&mut self, purpose: Purpose) {
--- a/crates/node/src/wire/intake.rs
+++ b/crates/node/src/wire/intake.rs
@@ -24,7 +24,7 @@
 impl Intake {
     /// Creates an empty buffer, charged to the account of the given purpose.
     pub fn new(account: &Account, purpose: Purpose) -> Self {
-        Intake { bytes: Vec::new(), held: account.nothing(), purpose, beside: 0 }
+        Intake { bytes: Vec::new(), held: account.empty_reservation(), purpose, beside: 0 }
     }
 
     /// The unconsumed bytes.
--- a/crates/node/src/wire/intake/tests.rs
+++ b/crates/node/src/wire/intake/tests.rs
@@ -20,7 +20,7 @@
     });
     std::thread::sleep(Duration::from_millis(50));
     drop(other);
-    let held = account.when_room(0, || {});
+    let held = account.notify_when_free(0, || {});
     let (first, again, waited, huge, in_all) = task.join().expect("no panic");
     drop(held);
     assert_eq!((first, again, huge), (Ok(()), Ok(()), Err(NO_ROOM)));
--- a/crates/node/src/wire/invoke/routes.rs
+++ b/crates/node/src/wire/invoke/routes.rs
@@ -105,7 +105,7 @@
 
 /// Responds with a list of configuration entries, if there is memory for it.
 fn list_response(entries: Object, connection: &Connection) -> RouteResult {
-    let mut reservation = connection.account().nothing();
+    let mut reservation = connection.account().empty_reservation();
     // The text is held twice: by itself and in the encoded response.
     match grow(&mut reservation, Purpose::Clients, 2 * entries.size()) {
         Ok(()) => {
--- a/crates/node/src/wire/metrics.rs
+++ b/crates/node/src/wire/metrics.rs
@@ -2,7 +2,7 @@
 use super::feed::{FeedReport, FollowerReport, Role};
 use crate::core::Invoker;
 use crate::memory::resident::resident_bytes;
-use corkbay_ledger::Line;
+use corkbay_ledger::AccountStatus;
 use prometheus_client::encoding::text::encode;
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
@@ -19,7 +19,7 @@
 /// The status as JSON.
 pub fn status(invoker: &Invoker, role: &Role) -> Value {
     let (ledger, resident) = (invoker.ledger(), resident_bytes());
-    let account = |line: Line| {
+    let account = |line: AccountStatus| {
         json!({
             "purpose": line.purpose, "tenant": line.tenant, "cap_bytes": line.cap, "used_bytes": line.used,
             "peak_bytes": line.peak, "refused": line.refused,
@@ -31,9 +31,9 @@
         "memory": {
             "resident_bytes": resident,
             "held_bytes": ledger.held(),
-            "room_bytes": ledger.room(),
+            "room_bytes": ledger.total_cap(),
             "unaccounted_bytes": resident.saturating_sub(ledger.held()),
-            "accounts": ledger.lines().into_iter().map(account).collect::<Vec<_>>(),
+            "accounts": ledger.statuses().into_iter().map(account).collect::<Vec<_>>(),
         },
     });
     role.add_status(&mut status);
@@ -66,8 +66,8 @@
     gauge(&mut registry, "resident", "Resident memory of the process", resident);
     let unaccounted = resident.saturating_sub(ledger.held());
     gauge(&mut registry, "unaccounted", "Resident memory that is not in any account", unaccounted);
-    let lines = ledger.lines();
-    let mut accounts = |name: &str, help: &str, value: fn(&Line) -> usize| {
+    let lines = ledger.statuses();
+    let mut accounts = |name: &str, help: &str, value: fn(&AccountStatus) -> usize| {
         let family = Family::<Labels, Gauge>::default();
         for line in &lines {
             family.get_or_create(&labels(line)).set(value(line) as i64);
@@ -193,6 +193,6 @@
     registry.register(name, help, counter);
 }
 
-fn labels(line: &Line) -> Labels {
+fn labels(line: &AccountStatus) -> Labels {
     vec![("purpose", line.purpose.to_string()), ("tenant", line.tenant.clone().unwrap_or_default())]
 }
--- a/crates/node/src/wire/workers.rs
+++ b/crates/node/src/wire/workers.rs
@@ -173,7 +173,7 @@
         if (held.is_err() || is_full) && !made_room {
             return None;
         }
-        let held = held.unwrap_or_else(|_| self.account.owe(CONNECTION_BYTES));
+        let held = held.unwrap_or_else(|_| self.account.reserve_over_cap(CONNECTION_BYTES));
         self.connections.fetch_add(1, Ordering::Relaxed);
         let (connection, queue) = Connection::new(self.limits.streams);
         let connection = Arc::new(connection);
