--- a/crates/node/src/core/counting.rs
+++ b/crates/node/src/core/counting.rs
@@ -1,6 +1,6 @@
 //! Counts final answers by kind.
 use super::Answer;
-use crate::memory::counters::Counters;
+use crate::state::counters::Counters;
 
 impl Counters {
     /// Counts the final answer of a request.
--- a/crates/node/src/core/invoker.rs
+++ b/crates/node/src/core/invoker.rs
@@ -14,8 +14,8 @@
 use super::{
     monotonic_ms, until, Call, LoadChange, LogLineLimit, StallDetector, Workers, HEARTBEAT_INTERVAL,
 };
-use crate::memory::counters::Counters;
-use crate::memory::roster::{Directory, Listing, SuspensionError};
+use crate::state::counters::Counters;
+use crate::state::roster::{SuspensionError, WorkerDirectory, WorkerListing};
 use crate::timers;
 use corkbay::{Dispatcher, Event, ModelId, Ms, Names, RequestId, Settings};
 use corkbay_duty::{HostOverrides, Leave, LeaveSchedule, ServingState};
@@ -65,7 +65,7 @@
 /// Owns the dispatcher, reports events to it and performs its actions.
 pub struct Invoker {
     core: Mutex<DispatcherState>,
-    directory: Mutex<Directory>,
+    directory: Mutex<WorkerDirectory>,
     /// Held while a roster update is applied and reported, so that the dispatcher receives updates in the
     /// order in which they were applied.
     roster_updates: Mutex<()>,
@@ -115,7 +115,7 @@
         let dispatcher = Dispatcher::new(settings.clone(), seed);
         let learnt = ledger.account(Purpose::Learnt).empty_reservation();
         let core = DispatcherState { dispatcher, inboxes: HashMap::new(), learnt };
-        let directory = Directory::new(&names, ledger.account(Purpose::Roster));
+        let directory = WorkerDirectory::new(&names, ledger.account(Purpose::Roster));
         let counters = Counters::new(workers.dials());
         Arc::new(Invoker {
             core: Mutex::new(core),
@@ -187,7 +187,7 @@
     /// Starts a task that records heartbeats for the life of the process.
     pub fn watch_for_stalls(self: &Arc<Self>) {
         let invoker = self.clone();
-        crate::life::spawn(move || loop {
+        crate::lifecycle::spawn(move || loop {
             match invoker.stall_detector.record_heartbeat(monotonic_ms()) {
                 Some(LoadChange::Overloaded(late_ms)) => {
                     invoker.counters.fell_behind.add();
@@ -229,9 +229,9 @@
         }
     }
 
-    /// Applies an update on the workers. Workers that may no longer be used are barred before the dispatcher
+    /// Applies an update on the workers. Workers that may no longer be used are blocked before the dispatcher
     /// is notified.
-    pub fn news(self: &Arc<Self>, listings: Vec<Listing>, whole: bool, remembered: bool) {
+    pub fn news(self: &Arc<Self>, listings: Vec<WorkerListing>, whole: bool, remembered: bool) {
         let _ordered = lock(&self.roster_updates);
         let known = lock(&self.directory).known_after(&listings, whole);
         if let Some(make_room) = self.room_for_workers.get() {
--- a/crates/node/src/core/invoker/actions.rs
+++ b/crates/node/src/core/invoker/actions.rs
@@ -2,7 +2,7 @@
 use super::messages::TaskMessage;
 use super::{lock, DispatcherState, Invoker};
 use crate::core::{monotonic_ms, AttemptError};
-use crate::memory::roster::Host;
+use crate::state::roster::Host;
 use crate::timers;
 use corkbay::{Action, Event, ModelId, Ms, Outcome, WorkerId};
 use corkbay_ledger::{Purpose, Reservation};
@@ -136,7 +136,7 @@
     /// Starts a task that holds its memory reservation until it ends.
     fn spawn(self: &Arc<Self>, reservation: Reservation, task: impl FnOnce(&Arc<Invoker>) + Send + 'static) {
         let invoker = self.clone();
-        crate::life::spawn(move || {
+        crate::lifecycle::spawn(move || {
             task(&invoker);
             drop(reservation);
         });
--- a/crates/node/src/core/invoker/request.rs
+++ b/crates/node/src/core/invoker/request.rs
@@ -4,7 +4,7 @@
 use super::{lock, Invoker, CALL_OVERHEAD_BYTES};
 use crate::core::unserved::hex;
 use crate::core::{monotonic_ms, Answer, AttemptError, Call, Failure, Unserved};
-use crate::memory::room;
+use crate::state::memory_wait;
 use corkbay::{Event, Finished, Ms, Outcome, Request, Warmth, WorkerId};
 use corkbay_ledger::Reservation;
 use may::sync::Mutex;
@@ -136,7 +136,7 @@
         if let Err(full) = reservation.resize(bytes) {
             // The answer must still be written before the deadline.
             let left_ms = (self.call.request.expires - monotonic_ms()) / 2.0;
-            room::wait(&full.account, full.asked, left_ms.clamp(0.0, MAX_ANSWER_WAIT_MS));
+            memory_wait::wait_for_memory(&full.account, full.asked, left_ms.clamp(0.0, MAX_ANSWER_WAIT_MS));
             reservation.reserve_over_cap(bytes);
         }
     }
--- a/crates/node/src/core/invoker/tests.rs
+++ b/crates/node/src/core/invoker/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::core::{Answer, AttemptError, CancelNotice, Cause, Ending, Exchange, UnixTime};
-use crate::memory::roster::Host;
+use crate::state::roster::Host;
 use corkbay::{ModelId, Request, WorkerState};
 use std::sync::atomic::AtomicUsize;
 
@@ -42,7 +42,7 @@
     fn give_up(&mut self, cause: Cause) -> Option<AttemptError> {
         *self.held.lock().expect("whole") = Some(self.notice.clone());
         let held = self.held.clone();
-        crate::life::spawn(move || {
+        crate::lifecycle::spawn(move || {
             may::coroutine::sleep(Duration::from_millis(60));
             held.lock().expect("whole").take();
         });
@@ -81,13 +81,23 @@
         "ceilings": {"attemptsCap": 5, "cancel": true, "secondCopies": second_copies},
         "specifics": {"notLoaded": "load", "keepMs": 1000.0}, "safety": {},
     });
-    let ledger = crate::memory::roomy();
+    let ledger = crate::state::roomy();
     let invoker = Invoker::new(&setup, 1, Arc::new(workers), ledger.clone());
     let address = "127.0.0.1:1".parse().expect("address");
     let (name, zone, kind) = ("w".to_string(), "a".to_string(), String::new());
     let (state, since) = (WorkerState::Ready, UnixTime::NONE);
-    let heard_without = Ms::NEG_INFINITY;
-    let listing = Listing { name, address, zone, kind, cell: 0, state, weight: 1.0, since, heard_without };
+    let last_contact_without_report = Ms::NEG_INFINITY;
+    let listing = WorkerListing {
+        name,
+        address,
+        zone,
+        kind,
+        cell: 0,
+        state,
+        weight: 1.0,
+        since,
+        last_contact_without_report,
+    };
     invoker.news(vec![listing], true, true);
     (invoker, ledger)
 }
--- a/crates/node/src/core/mod.rs
+++ b/crates/node/src/core/mod.rs
@@ -16,8 +16,8 @@
 pub use stall::{LoadChange, StallDetector, HEARTBEAT_INTERVAL};
 pub use unserved::{LogLineLimit, Unserved};
 
-use crate::memory::counters::Dials;
-use crate::memory::roster::Host;
+use crate::state::counters::Dials;
+use crate::state::roster::Host;
 use corkbay::{ModelId, Ms};
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -5,7 +5,7 @@
 
 pub mod clock;
 pub mod core;
-pub mod life;
-pub mod memory;
+pub mod lifecycle;
+pub mod state;
 pub mod timers;
 pub mod wire;
--- a/crates/node/src/life/accounts.rs
+++ b/crates/node/src/lifecycle/accounts.rs
@@ -2,8 +2,8 @@
 use super::config::ConfigError;
 use super::spawn;
 use crate::core::{monotonic_ms, Invoker};
-use crate::memory::resident::resident_bytes;
-use crate::memory::roster;
+use crate::state::resident::resident_bytes;
+use crate::state::roster;
 use crate::timers;
 use corkbay::{Settings, TableSizes};
 use corkbay_ledger::{Alarm, Budget, BudgetError, Purpose, Shares, TenantShare, MIB};
--- a/crates/node/src/life/config.rs
+++ b/crates/node/src/lifecycle/config.rs
@@ -1,5 +1,5 @@
 //! The configuration on the hosting platform. An error names the key at fault in one line.
-use crate::wire::channel::News;
+use crate::wire::command_channel::ChannelEvent;
 use serde::Deserialize;
 use serde_json::Value;
 use std::fmt;
@@ -83,7 +83,7 @@
     /// Number of the last known event of the command channel.
     pub cursor: u64,
     /// The known events, in order.
-    pub known_events: Vec<News>,
+    pub known_events: Vec<ChannelEvent>,
     /// The settings object.
     pub settings: Value,
 }
@@ -133,7 +133,7 @@
     #[serde(default)]
     cursor: u64,
     #[serde(default)]
-    cmds: Vec<News>,
+    cmds: Vec<ChannelEvent>,
 }
 
 /// Parses the address at a key.
--- a/crates/node/src/life/deploy.rs
+++ b/crates/node/src/lifecycle/deploy.rs
@@ -5,8 +5,8 @@
 use super::accounts::MemorySettings;
 use super::config::ConfigError;
 use super::roles::{FeedSettings, FollowSettings};
-use crate::memory::keys::{FUNCTION, WORKER};
-use crate::memory::seeds::{configured_size, pages_size};
+use crate::state::deploy_entries::{configured_size, pages_size};
+use crate::state::keys::{FUNCTION, WORKER};
 use corkbay_ledger::{Purpose, KIB, MIB};
 pub use entries::{
     Class, Effect, FunctionEntry, Kind, Limits, Memory, Protocol, Replication, Scope, Style, Tenant,
--- a/crates/node/src/life/deploy/check.rs
+++ b/crates/node/src/lifecycle/deploy/check.rs
@@ -1,8 +1,8 @@
 //! Checks of the deploy file that go beyond its types.
 use super::{Deploy, Effect, Protocol, Style, MAX_ANSWER_KB};
-use crate::life::accounts::{deploy_budget, MIN_BASE_BYTES};
-use crate::life::config::ConfigError;
-use crate::memory::catalog::check_name;
+use crate::lifecycle::accounts::{deploy_budget, MIN_BASE_BYTES};
+use crate::lifecycle::config::ConfigError;
+use crate::state::catalog::check_name;
 use corkbay_ledger::Purpose;
 use std::collections::BTreeSet;
 
@@ -13,7 +13,7 @@
 
 impl Deploy {
     /// Checks the whole file; returns the first error, which names its key.
-    pub(in crate::life) fn check(&self) -> Result<(), ConfigError> {
+    pub(in crate::lifecycle) fn check(&self) -> Result<(), ConfigError> {
         check_name(&self.node).map_err(|error| ConfigError::new("node", error))?;
         self.check_limits()?;
         self.check_memory_and_roles()?;
--- a/crates/node/src/life/deploy/entries.rs
+++ b/crates/node/src/lifecycle/deploy/entries.rs
@@ -1,7 +1,7 @@
 //! The sections and entries of the deploy file.
 use super::MAX_ANSWER_KB;
-use crate::life::config::ConfigError;
-use crate::memory::catalog::{Function, State};
+use crate::lifecycle::config::ConfigError;
+use crate::state::catalog::{Function, State};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, ToSocketAddrs};
--- a/crates/node/src/life/handover/command.rs
+++ b/crates/node/src/lifecycle/handover/command.rs
@@ -1,5 +1,5 @@
 //! Operators' commands and the reasons for which they fail.
-use crate::memory::roster::SuspensionError;
+use crate::state::roster::SuspensionError;
 use corkbay_duty::Overrides;
 
 /// A command of an operator.
--- a/crates/node/src/life/import.rs
+++ b/crates/node/src/lifecycle/import.rs
@@ -1,7 +1,7 @@
 //! Converts Apache's worker files (mod_jk's `workers.properties` and mod_proxy_balancer's `<Proxy balancer://>`
 //! sections) into `[[worker]]` entries for the `workers_file` of a deploy file.
 use super::deploy::{WorkerEntry, WorkersFile};
-use crate::memory::catalog::{check_name, State};
+use crate::state::catalog::{check_name, State};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 use std::path::Path;
--- a/crates/node/src/life/platform.rs
+++ b/crates/node/src/lifecycle/platform.rs
@@ -6,11 +6,11 @@
 use crate::core::{monotonic_ms, Invoker};
 use crate::timers;
 use crate::wire::accept::{Acceptor, ConnectionLimits};
-use crate::wire::channel::{self, Line};
+use crate::wire::command_channel::{self, CommandChannel};
+use crate::wire::connection_handover::{self, HandoverSender};
 use crate::wire::frames::MAX_BODY;
-use crate::wire::passage::{self, Passage};
 use crate::wire::workers::{FrameWorkers, Limits as WorkerLimits};
-use crate::wire::{front, operators};
+use crate::wire::{operators, thrift_front};
 use corkbay_duty::{Leave, LeaveSchedule};
 use corkbay_ledger::{Budget, Ledger, Purpose};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGUSR1};
@@ -202,7 +202,8 @@
             acceptor.accept(move |connection| operators::serve(&task_invoker, &overrides, &connection))
         });
     }
-    let (task_invoker, command_channel, cursor) = (invoker.clone(), Line::new(config.channel), config.cursor);
+    let (task_invoker, command_channel, cursor) =
+        (invoker.clone(), CommandChannel::new(config.channel), config.cursor);
     let reload = {
         let (command_channel, listen, settings) =
             (command_channel.clone(), config.listen, config.settings.clone());
@@ -227,21 +228,21 @@
         }
     };
     let channel = command_channel.clone();
-    spawn(move || channel::follow(&task_invoker, &command_channel, cursor));
+    spawn(move || command_channel::follow(&task_invoker, &command_channel, cursor));
     wait_until_in_sync(&overrides, &channel);
     let account = ledger.account(Purpose::Clients).clone();
-    let client_limits = ConnectionLimits { most: clients, stall: front::WRITE_STALL, account };
+    let client_limits = ConnectionLimits { most: clients, stall: thrift_front::WRITE_STALL, account };
     let acceptor =
         Acceptor::open(config.listen, client_limits).map_err(|error| ConfigError::new("listen", error))?;
     // The other process may have exited since the limits were set.
     if limits.acceptor.set(acceptor.clone()).is_ok() {
         limits.share(overrides.succession().parts());
     }
-    let connection_handover = Arc::<Passage>::default();
+    let connection_handover = Arc::<HandoverSender>::default();
     let (task_invoker, task_acceptor, task_handover) =
         (invoker.clone(), acceptor.clone(), connection_handover.clone());
     spawn(move || {
-        task_acceptor.accept(move |connection| front::serve(&task_invoker, &task_handover, connection))
+        task_acceptor.accept(move |connection| thrift_front::serve(&task_invoker, &task_handover, connection))
     });
     let (task_invoker, task_acceptor) = (invoker.clone(), acceptor.clone());
     spawn(move || drain(&task_invoker, &task_acceptor));
@@ -251,9 +252,9 @@
         let resume = move |stream, owed: &[i32]| {
             task_acceptor
                 .take_over(stream)
-                .map(|connection| front::resume(&task_invoker, &task_handover, connection, owed))
+                .map(|connection| thrift_front::resume(&task_invoker, &task_handover, connection, owed))
         };
-        if let Err(error) = passage::listen(&slot.folder, slot.number, resume) {
+        if let Err(error) = connection_handover::listen(&slot.folder, slot.number, resume) {
             tracing::warn!(%error, "handover: no connections can be taken over");
         }
     }
@@ -293,7 +294,7 @@
 
 /// Waits until this process knows the operators' overrides and the events of the command channel, as long as another
 /// process can serve meanwhile. Without another process it returns at once.
-fn wait_until_in_sync(overrides: &OverridesHandle, channel: &Line) {
+fn wait_until_in_sync(overrides: &OverridesHandle, channel: &CommandChannel) {
     let start = Instant::now();
     let has_other_process = || overrides.succession().other().is_some();
     let is_channel_silent = || !channel.is_heard() && start.elapsed() < MAX_CHANNEL_WAIT;
--- a/crates/node/src/life/roles/tests.rs
+++ b/crates/node/src/lifecycle/roles/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::life::deploy::read;
+use crate::lifecycle::deploy::read;
 
 const NODE: &str = "node = \"n\"\nlisten = \"127.0.0.1:0\"\n";
 const CLASS: &str = "[[class]]\nname = \"check\"\naim_ms = 100\ngive_up_ms = 1000\neffect = \"pure\"\n";
--- a/crates/node/src/life/service.rs
+++ b/crates/node/src/lifecycle/service.rs
@@ -7,17 +7,17 @@
 };
 use super::{accounts, spawn};
 use crate::core::{Invoker, Workers};
-use crate::memory::catalog::{Catalog, CatalogError, Worker};
-use crate::memory::invocations::Invocations;
-use crate::memory::seeds::SeedEntry;
-use crate::memory::store::{KeptAfterRestart, Store, StoreError};
+use crate::state::catalog::{Catalog, CatalogError, Worker};
+use crate::state::deploy_entries::DeployEntry;
+use crate::state::invocations::Invocations;
+use crate::state::store::{KeptAfterRestart, Store, StoreError};
 use crate::timers;
 use crate::wire::accept::{Acceptor, ConnectionLimits};
 use crate::wire::feed::{self, FeedRole, Role};
 use crate::wire::http_workers::{self, HttpWorkers};
 use crate::wire::invoke::{self, InvokeApi};
-use crate::wire::news::OnNews;
-use crate::wire::replicate;
+use crate::wire::record_changes::OnRecordChanges;
+use crate::wire::replication;
 use crate::wire::workers::FrameWorkers;
 use corkbay_ledger::{Account, Ledger, Purpose};
 use serde_json::Value;
@@ -126,7 +126,7 @@
 
 impl RecordTargets {
     /// The handler that runs when such records have arrived.
-    fn on_news(&self) -> OnNews {
+    fn on_record_changes(&self) -> OnRecordChanges {
         let invoker = self.invoker.clone();
         let catalog = self.catalog.clone();
         let invocations = self.invocations.clone();
@@ -146,10 +146,11 @@
     let mut role = Role::default();
     if let Some(replication) = &deploy.replication {
         let at = |error| ConfigError::new("replication.listen", error);
-        let acceptor = replicate::open(replication.listen, store, replication.peers.len()).map_err(at)?;
+        let acceptor = replication::open(replication.listen, store, replication.peers.len()).map_err(at)?;
         println!("replication on {}", acceptor.address().map_err(at)?);
         let interval = Duration::from_millis(replication.interval_ms);
-        let mesh = replicate::start(store, acceptor, &replication.peers, interval, targets.on_news());
+        let mesh =
+            replication::start(store, acceptor, &replication.peers, interval, targets.on_record_changes());
         role.mesh = Some(mesh);
     }
     if let Some(settings) = &deploy.feed {
@@ -160,7 +161,7 @@
     }
     if let Some(settings) = &deploy.follow {
         let options = settings.options(&deploy.zone);
-        let follower = feed::follow(store.clone(), options, targets.on_news());
+        let follower = feed::follow(store.clone(), options, targets.on_record_changes());
         let follower = follower.map_err(|error| ConfigError::new("follow.control", error))?;
         role.feed = FeedRole::Follower(follower);
     }
@@ -171,7 +172,7 @@
 fn seed(catalog: &Catalog, deploy: &Deploy) -> Result<(), ConfigError> {
     let mut entries = Vec::with_capacity(deploy.functions.len() + deploy.workers.len());
     for function in &deploy.functions {
-        entries.push(SeedEntry::function(&function.name, &function.function()).map_err(entry_error)?);
+        entries.push(DeployEntry::function(&function.name, &function.function()).map_err(entry_error)?);
     }
     for entry in &deploy.workers {
         let worker = Worker {
@@ -182,7 +183,7 @@
             weight: entry.weight,
             state: entry.state,
         };
-        entries.push(SeedEntry::worker(&entry.name, &worker).map_err(entry_error)?);
+        entries.push(DeployEntry::worker(&entry.name, &worker).map_err(entry_error)?);
     }
     catalog.seed(entries).map_err(entry_error)
 }
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,7 +1,7 @@
 //! Starts the daemon: on the platform with the settings of `PROXY_CONFIG`, elsewhere with a deploy file.
-use corkbay_node::life::config::{ConfigError, Source};
-use corkbay_node::life::deploy::Deploy;
-use corkbay_node::life::{import, logs, platform, service};
+use corkbay_node::lifecycle::config::{ConfigError, Source};
+use corkbay_node::lifecycle::deploy::Deploy;
+use corkbay_node::lifecycle::{import, logs, platform, service};
 use std::path::Path;
 use std::process::ExitCode;
 
--- a/crates/node/src/memory/catalog.rs
+++ b/crates/node/src/state/catalog.rs
@@ -2,7 +2,7 @@
 use super::hash::fnv1a;
 use super::keys::{FUNCTION, WORKER};
 use super::record::{Record, Text};
-use super::roster::Listing;
+use super::roster::WorkerListing;
 use super::store::{Draft, Store, StoreError};
 use crate::clock::UnixTime;
 use crate::core::Invoker;
@@ -222,8 +222,8 @@
     }
 }
 
-fn listing(name: String, worker: Worker) -> Listing {
-    Listing {
+fn listing(name: String, worker: Worker) -> WorkerListing {
+    WorkerListing {
         name,
         address: worker.address,
         zone: worker.zone,
@@ -236,7 +236,7 @@
         },
         weight: worker.weight,
         since: UnixTime::NONE,
-        heard_without: Ms::NEG_INFINITY,
+        last_contact_without_report: Ms::NEG_INFINITY,
     }
 }
 
--- a/crates/node/src/memory/seeds.rs
+++ b/crates/node/src/state/deploy_entries.rs
@@ -11,7 +11,7 @@
 use super::keys::{FUNCTION, SEED, WORKER};
 use super::record::{Record, Text};
 use super::store::{Draft, Store, StoreError, MAX_BATCH};
-use crate::memory::hash::fnv1a;
+use crate::state::hash::fnv1a;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
@@ -26,25 +26,25 @@
 const DIGEST_OVERHEAD_BYTES: usize = 22;
 
 /// An entry of the deploy file.
-pub struct SeedEntry {
+pub struct DeployEntry {
     key: String,
     value: Text,
 }
 
-impl SeedEntry {
+impl DeployEntry {
     /// An entry for a function.
     pub fn function(name: &str, function: &Function) -> Result<Self, CatalogError> {
-        SeedEntry::new(format!("{FUNCTION}{name}"), function)
+        DeployEntry::new(format!("{FUNCTION}{name}"), function)
     }
 
     /// An entry for a worker.
     pub fn worker(name: &str, worker: &Worker) -> Result<Self, CatalogError> {
-        SeedEntry::new(format!("{WORKER}{name}"), worker)
+        DeployEntry::new(format!("{WORKER}{name}"), worker)
     }
 
     fn new(key: String, value: &impl Serialize) -> Result<Self, CatalogError> {
         let value = Text::of(value).map_err(|error| CatalogError::Value(error.to_string()))?;
-        Ok(SeedEntry { key, value })
+        Ok(DeployEntry { key, value })
     }
 
     fn page(&self) -> usize {
@@ -117,8 +117,8 @@
 
 impl Catalog {
     /// Writes the entries of the deploy file that changed since the file was last read on this node.
-    pub fn seed(&self, entries: Vec<SeedEntry>) -> Result<(), CatalogError> {
-        let mut pages: Vec<Vec<SeedEntry>> = Vec::new();
+    pub fn seed(&self, entries: Vec<DeployEntry>) -> Result<(), CatalogError> {
+        let mut pages: Vec<Vec<DeployEntry>> = Vec::new();
         pages.resize_with(PAGES, Vec::new);
         for entry in entries {
             pages[entry.page()].push(entry);
@@ -143,7 +143,7 @@
     fn plan(
         &self,
         number: usize,
-        entries: &[SeedEntry],
+        entries: &[DeployEntry],
         digests: &mut Digests,
     ) -> Result<Batch, CatalogError> {
         let mut batch = Batch::default();
--- a/crates/node/src/memory/seeds/tests.rs
+++ b/crates/node/src/state/deploy_entries/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::memory::roomy;
+use crate::state::roomy;
 use std::sync::Arc;
 
 /// Enough entries that each page needs more than one batch.
@@ -9,9 +9,9 @@
     Function { class: "check".into(), tenant: String::new(), memory_mb: 0.0, lanes, cost_ms: None }
 }
 
-fn entries(count: usize, first_lanes: u32) -> Vec<SeedEntry> {
+fn entries(count: usize, first_lanes: u32) -> Vec<DeployEntry> {
     let lanes = |number: usize| if number == 0 { first_lanes } else { 1 };
-    let entry = |number: usize| SeedEntry::function(&number.to_string(), &function(lanes(number)));
+    let entry = |number: usize| DeployEntry::function(&number.to_string(), &function(lanes(number)));
     (0..count).map(|number| entry(number).expect("text")).collect()
 }
 
--- a/crates/node/src/memory/link.rs
+++ b/crates/node/src/state/exchanges.rs
@@ -14,22 +14,27 @@
     /// Its first bytes may have been written.
     Writing,
     /// Written completely.
-    Whole,
+    Written,
 }
 
 /// The exchanges of one connection; `W` is what waits for the end of an exchange.
 #[derive(Debug)]
-pub struct Link<W> {
+pub struct ConnectionExchanges<W> {
     open: HashMap<u64, (Stage, W)>,
     ended: VecDeque<u64>,
     streams: usize,
     closed: bool,
 }
 
-impl<W> Link<W> {
+impl<W> ConnectionExchanges<W> {
     /// A connection that carries up to `streams` concurrent exchanges.
     pub fn new(streams: usize) -> Self {
-        Link { open: HashMap::new(), ended: VecDeque::new(), streams: streams.max(1), closed: false }
+        ConnectionExchanges {
+            open: HashMap::new(),
+            ended: VecDeque::new(),
+            streams: streams.max(1),
+            closed: false,
+        }
     }
 
     /// Whether an exchange with this id may be opened.
@@ -40,7 +45,7 @@
             && !self.ended.contains(&id)
     }
 
-    /// Opens an exchange if [`Link::admits`] allows it; otherwise returns the waiter.
+    /// Opens an exchange if [`ConnectionExchanges::admits`] allows it; otherwise returns the waiter.
     pub fn open(&mut self, id: u64, waiter: W) -> Result<(), W> {
         if !self.admits(id) {
             return Err(waiter);
@@ -61,9 +66,9 @@
     }
 
     /// Marks the request of an exchange as written completely.
-    pub fn whole(&mut self, id: u64) {
+    pub fn mark_written(&mut self, id: u64) {
         if let Some((stage @ Stage::Writing, _)) = self.open.get_mut(&id) {
-            *stage = Stage::Whole;
+            *stage = Stage::Written;
         }
     }
 
--- a/crates/node/src/memory/invocations/tests.rs
+++ b/crates/node/src/state/invocations/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::memory::roomy;
+use crate::state::roomy;
 use corkbay_ledger::{Budget, Ledger, Shares, TenantShare, MIB};
 
 const MAX_ANSWER_BYTES: usize = 64 << 10;
--- a/crates/node/src/memory/log/tests.rs
+++ b/crates/node/src/state/log/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::memory::record::Text;
+use crate::state::record::Text;
 
 fn record(key: &str, version: u64, filler: usize) -> Record {
     let value = Text::of(&"x".repeat(filler)).ok();
--- a/crates/node/src/memory/mod.rs
+++ b/crates/node/src/state/mod.rs
@@ -2,17 +2,17 @@
 pub mod catalog;
 pub mod clients;
 pub mod counters;
+pub mod deploy_entries;
+pub mod exchanges;
 pub mod hash;
 pub mod invocations;
 pub mod keys;
-pub mod link;
 pub mod log;
+pub mod memory_wait;
 pub mod record;
 pub mod resident;
-pub mod room;
 pub mod roster;
-pub mod seeds;
-pub mod starts;
+pub mod start_times;
 pub mod store;
 
 /// A ledger with a budget that is large enough for any test.
--- a/crates/node/src/memory/roster.rs
+++ b/crates/node/src/state/roster.rs
@@ -1,6 +1,6 @@
 //! The known workers. Combines the list from the command channel with the operators' overrides into the roster that the
 //! decision logic receives, and into whether work may be sent to each worker.
-use super::starts::{MonotonicReadings, ReportTime, ReportedStart};
+use super::start_times::{MonotonicReadings, ReportTime, ReportedStart};
 use crate::clock::{monotonic_ms, UnixTime};
 use corkbay::{position, Ms, Names, RosterEntry, RosterUpdate, WorkerId, WorkerState};
 use corkbay_duty::HostOverrides;
@@ -14,7 +14,7 @@
 
 /// One entry of the list of workers, with zone and kind by name as on the wire.
 #[derive(Clone, Debug)]
-pub struct Listing {
+pub struct WorkerListing {
     /// Name of the worker; a replacement machine has a new name.
     pub name: String,
     /// Where it listens.
@@ -33,7 +33,7 @@
     pub since: UnixTime,
     /// When the sender was last in contact without this report, on the monotonic clock in milliseconds; minus infinity if
     /// never.
-    pub heard_without: Ms,
+    pub last_contact_without_report: Ms,
 }
 
 /// One worker. A new name at a known address is another worker, with its own connections.
@@ -45,25 +45,25 @@
     pub name: String,
     /// Where it listens.
     pub address: SocketAddr,
-    barred: AtomicBool,
+    blocked: AtomicBool,
     suspended: AtomicBool,
 }
 
 impl Host {
     /// A host that accepts work.
     pub fn new(id: WorkerId, name: &str, address: SocketAddr) -> Arc<Self> {
-        let (barred, suspended) = (AtomicBool::new(false), AtomicBool::new(false));
-        Arc::new(Host { id, name: name.to_string(), address, barred, suspended })
+        let (blocked, suspended) = (AtomicBool::new(false), AtomicBool::new(false));
+        Arc::new(Host { id, name: name.to_string(), address, blocked, suspended })
     }
 
     /// Whether no new work may be sent to it, as it is draining, gone or suspended.
-    pub fn barred(&self) -> bool {
-        self.barred.load(Ordering::Acquire)
+    pub fn is_blocked(&self) -> bool {
+        self.blocked.load(Ordering::Acquire)
     }
 
     /// Sets whether new work is blocked.
-    pub fn bar(&self, barred: bool) {
-        self.barred.store(barred, Ordering::Release);
+    pub fn set_blocked(&self, blocked: bool) {
+        self.blocked.store(blocked, Ordering::Release);
     }
 
     /// Sets whether operators have suspended it.
@@ -95,7 +95,7 @@
         // A host is restarted while it is suspended; the list may still report an earlier start.
         entry.started_at = entry.started_at.max(host_overrides.resumed_at(&entry.name).unwrap_or(0.0));
         self.host.suspend(is_suspended);
-        self.host.bar(entry.state != WorkerState::Ready);
+        self.host.set_blocked(entry.state != WorkerState::Ready);
         entry
     }
 }
@@ -115,7 +115,7 @@
 const MAX_FORGOTTEN_NAMES: usize = 4096;
 
 /// The known workers, by name and by id. Ids are not reused.
-pub struct Directory {
+pub struct WorkerDirectory {
     zones: Vec<String>,
     kinds: Vec<String>,
     hosts: HashMap<WorkerId, KnownWorker>,
@@ -130,10 +130,10 @@
     host_overrides_held: Reservation,
 }
 
-impl Directory {
+impl WorkerDirectory {
     /// An empty directory that resolves names of zones and kinds, and charges its memory to an account.
     pub fn new(names: &Names, account: &Account) -> Self {
-        Directory {
+        WorkerDirectory {
             zones: names.zones.clone(),
             kinds: names.kinds.clone(),
             hosts: HashMap::new(),
@@ -148,7 +148,7 @@
     }
 
     /// Number of workers that will be known after these listings are applied; `whole` if the list is complete.
-    pub fn known_after(&self, listings: &[Listing], whole: bool) -> usize {
+    pub fn known_after(&self, listings: &[WorkerListing], whole: bool) -> usize {
         if whole {
             return listings.len() + self.gone.len();
         }
@@ -201,7 +201,7 @@
 
     /// Applies listings and returns them as a roster for the decision logic. If the list is complete (`whole`), workers that
     /// it does not contain are marked as gone. `remembered` marks the last list of an earlier process.
-    pub fn apply(&mut self, listings: Vec<Listing>, whole: bool, remembered: bool) -> RosterUpdate {
+    pub fn apply(&mut self, listings: Vec<WorkerListing>, whole: bool, remembered: bool) -> RosterUpdate {
         let count = listings.len();
         let entries: Vec<RosterEntry> =
             listings.into_iter().filter_map(|listing| self.entry(listing)).collect();
@@ -234,7 +234,7 @@
         for (id, known) in &mut self.hosts {
             if !listed.contains(id) && known.listed.state != WorkerState::Removed {
                 known.listed.state = WorkerState::Removed;
-                known.host.bar(true);
+                known.host.set_blocked(true);
                 missing.push(*id);
             }
         }
@@ -271,7 +271,7 @@
 
     /// The roster entry of a listed worker; `None` if the worker is new and there is no room for it. Updates of known
     /// workers are always applied.
-    fn entry(&mut self, listing: Listing) -> Option<RosterEntry> {
+    fn entry(&mut self, listing: WorkerListing) -> Option<RosterEntry> {
         if !self.ids_by_name.contains_key(&listing.name) && !self.reserve_for_new(&listing.name) {
             return None;
         }
@@ -279,7 +279,10 @@
             self.next_id += 1;
             WorkerId(self.next_id - 1)
         });
-        let report = ReportTime { now: monotonic_ms(), heard_without: listing.heard_without };
+        let report = ReportTime {
+            now: monotonic_ms(),
+            last_contact_without_report: listing.last_contact_without_report,
+        };
         let before = self.hosts.get(&id).map(|known| known.start);
         let start =
             ReportedStart::interpret(listing.since, MonotonicReadings::of(listing.since), report, before);
@@ -297,7 +300,7 @@
             Some(host) if host.address == listing.address => host,
             before => {
                 // The worker has moved to another address: connections to the old address must not be used for it.
-                before.into_iter().for_each(|host| host.bar(true));
+                before.into_iter().for_each(|host| host.set_blocked(true));
                 Host::new(id, &listed.name, listing.address)
             }
         };
--- a/crates/node/src/memory/roster/tests.rs
+++ b/crates/node/src/state/roster/tests.rs
@@ -2,19 +2,29 @@
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-fn listing(name: usize, state: WorkerState) -> Listing {
+fn listing(name: usize, state: WorkerState) -> WorkerListing {
     let (zone, kind) = (String::new(), String::new());
     let address = "127.0.0.1:1".parse().expect("address");
-    let (since, heard_without) = (UnixTime::NONE, Ms::NEG_INFINITY);
+    let (since, last_contact_without_report) = (UnixTime::NONE, Ms::NEG_INFINITY);
     let name = format!("w{name}");
-    Listing { name, address, zone, kind, cell: 0, state, weight: 1.0, since, heard_without }
+    WorkerListing {
+        name,
+        address,
+        zone,
+        kind,
+        cell: 0,
+        state,
+        weight: 1.0,
+        since,
+        last_contact_without_report,
+    }
 }
 
 /// Guards against unbounded memory growth when hosts are replaced by new ones all the time.
 #[test]
 fn gone_hosts_are_dropped_and_their_ids_are_not_reused() {
     let account = Account::root("roster", 1 << 20);
-    let mut directory = Directory::new(&Names::default(), &account);
+    let mut directory = WorkerDirectory::new(&Names::default(), &account);
     directory.apply((0..4).map(|name| listing(name, WorkerState::Ready)).collect(), true, true);
     for name in 4..1000 {
         directory.apply(vec![listing(name, WorkerState::Ready)], false, false);
@@ -25,8 +35,8 @@
         (MAX_GONE_WORKERS + 4, MAX_GONE_WORKERS + 4)
     );
     assert!(directory.host(WorkerId(2)).is_none());
-    assert!(directory.host(WorkerId(1)).is_some_and(|host| !host.barred()), "it was never gone");
-    assert!(directory.host(WorkerId(997)).is_some_and(|host| host.barred()), "reported recently");
+    assert!(directory.host(WorkerId(1)).is_some_and(|host| !host.is_blocked()), "it was never gone");
+    assert!(directory.host(WorkerId(997)).is_some_and(|host| host.is_blocked()), "reported recently");
     let RosterUpdate::Changes(back) = directory.apply(vec![listing(2, WorkerState::Ready)], false, false)
     else {
         panic!("changes")
@@ -39,14 +49,14 @@
     assert_eq!(account.used(), 0);
 }
 
-fn suspend(directory: &mut Directory, name: &str, now: Ms) -> Result<RosterUpdate, SuspensionError> {
+fn suspend(directory: &mut WorkerDirectory, name: &str, now: Ms) -> Result<RosterUpdate, SuspensionError> {
     directory.may_suspend(name)?;
     let mut host_overrides = directory.host_overrides().clone();
     host_overrides.suspend(name, now);
     Ok(directory.adopt(host_overrides))
 }
 
-fn resume(directory: &mut Directory, name: &str, now: Ms) -> Result<RosterUpdate, SuspensionError> {
+fn resume(directory: &mut WorkerDirectory, name: &str, now: Ms) -> Result<RosterUpdate, SuspensionError> {
     directory.may_resume(name)?;
     let mut host_overrides = directory.host_overrides().clone();
     host_overrides.resume(name, now);
@@ -58,7 +68,7 @@
 #[test]
 fn a_dropped_host_can_still_be_suspended() {
     let account = Account::root("roster", 1 << 20);
-    let mut directory = Directory::new(&Names::default(), &account);
+    let mut directory = WorkerDirectory::new(&Names::default(), &account);
     for name in 0..200 {
         directory.apply(vec![listing(name, WorkerState::Ready)], false, false);
         directory.apply(vec![listing(name, WorkerState::Removed)], false, false);
@@ -101,7 +111,7 @@
     #[test]
     fn no_listing_lifts_a_suspension(steps in steps()) {
         let account = Account::root("roster", 1 << 20);
-        let mut directory = Directory::new(&Names::default(), &account);
+        let mut directory = WorkerDirectory::new(&Names::default(), &account);
         let state = |number: u8| [WorkerState::Ready, WorkerState::Draining, WorkerState::Removed][usize::from(number)];
         // Last listed states, suspended hosts, and last states passed to the decision logic; by number of the name.
         let (mut listed, mut suspended, mut reported) = (BTreeMap::new(), BTreeSet::new(), BTreeMap::new());
@@ -147,7 +157,7 @@
                 let id = directory.ids_by_name[&format!("w{name}")];
                 let host = directory.host(id).expect("few are known");
                 prop_assert_eq!(host.suspended(), is_suspended);
-                prop_assert_eq!(host.barred(), expected != WorkerState::Ready);
+                prop_assert_eq!(host.is_blocked(), expected != WorkerState::Ready);
             }
         }
     }
@@ -158,7 +168,7 @@
 #[test]
 fn a_list_that_exceeds_its_account_skips_new_workers_but_no_updates() {
     let account = Account::root("roster", 10 * worker_bytes("w11"));
-    let mut directory = Directory::new(&Names::default(), &account);
+    let mut directory = WorkerDirectory::new(&Names::default(), &account);
     let mut report = |name: usize, state| match directory.apply(vec![listing(name, state)], false, false) {
         RosterUpdate::Changes(entries) => entries.first().map(|entry| (entry.worker.0, entry.state)),
         other => panic!("{other:?}"),
--- a/crates/node/src/memory/starts.rs
+++ b/crates/node/src/state/start_times.rs
@@ -41,7 +41,7 @@
     /// When the report was received.
     pub now: Ms,
     /// When the channel was last in contact without reporting it; minus infinity if never.
-    pub heard_without: Ms,
+    pub last_contact_without_report: Ms,
 }
 
 impl ReportedStart {
@@ -59,7 +59,7 @@
             return same;
         }
         let latest = readings.at_start_clock.max(readings.at_present_clock).min(report.now);
-        let is_plausible = latest >= report.heard_without - MAX_REPORT_DELAY_MS;
+        let is_plausible = latest >= report.last_contact_without_report - MAX_REPORT_DELAY_MS;
         let started = if is_plausible { latest } else { report.now };
         // Another date means another process, which started later.
         let after = before.map_or(Ms::MIN_POSITIVE, |before| before.started.next_up());
@@ -69,7 +69,7 @@
 
 /// The times of the last contacts on the channel, which bound when a reported start can have happened.
 #[derive(Clone, Copy, Debug)]
-pub struct Contact {
+pub struct ChannelContact {
     last: Ms,
     before_last: Ms,
     /// After a silence: until when missed reports are expected, and the time of the last contact before the silence.
@@ -81,15 +81,15 @@
 /// Missed reports arrive within this time after contact is restored, in milliseconds.
 const CATCH_UP_MS: Ms = 2000.0;
 
-impl Default for Contact {
+impl Default for ChannelContact {
     fn default() -> Self {
-        Contact { last: Ms::NEG_INFINITY, before_last: Ms::NEG_INFINITY, catching_up: None }
+        ChannelContact { last: Ms::NEG_INFINITY, before_last: Ms::NEG_INFINITY, catching_up: None }
     }
 }
 
-impl Contact {
+impl ChannelContact {
     /// Registers a message at `now`, on the monotonic clock in milliseconds.
-    pub fn heard(&mut self, now: Ms) {
+    pub fn record_contact(&mut self, now: Ms) {
         if now - self.last > MAX_GAP_MS {
             self.catching_up = Some((now + CATCH_UP_MS, self.last));
         }
@@ -98,7 +98,7 @@
 
     /// When the channel was last in contact without the current report, on the monotonic clock in milliseconds; minus
     /// infinity if never.
-    pub fn heard_without(&self) -> Ms {
+    pub fn last_contact_without_report(&self) -> Ms {
         match self.catching_up {
             Some((until, before)) if self.last < until => before,
             _ => self.before_last,
--- a/crates/node/src/memory/starts/tests.rs
+++ b/crates/node/src/state/start_times/tests.rs
@@ -3,18 +3,23 @@
 const NOW: Ms = 1_000_000.0;
 const HOUR_MS: Ms = 3_600_000.0;
 
-fn heard(now: Ms, heard_without: Ms) -> ReportTime {
-    ReportTime { now, heard_without }
+fn report_time(now: Ms, last_contact_without_report: Ms) -> ReportTime {
+    ReportTime { now, last_contact_without_report }
 }
 
 /// The age determined for a reported start, given its age by the wall clock as it was at the start of the process and as
 /// it is now.
-fn determined_age(age_at_start_clock: Ms, age_at_present_clock: Ms, heard_without: Ms) -> Ms {
+fn determined_age(age_at_start_clock: Ms, age_at_present_clock: Ms, last_contact_without_report: Ms) -> Ms {
     let readings = MonotonicReadings {
         at_start_clock: NOW - age_at_start_clock,
         at_present_clock: NOW - age_at_present_clock,
     };
-    let start = ReportedStart::interpret(UnixTime::from_ms(5.0), readings, heard(NOW, heard_without), None);
+    let start = ReportedStart::interpret(
+        UnixTime::from_ms(5.0),
+        readings,
+        report_time(NOW, last_contact_without_report),
+        None,
+    );
     NOW - start.started
 }
 
@@ -56,7 +61,12 @@
 fn the_same_date_is_the_same_start_and_another_is_a_later_one() {
     let readings = |at| MonotonicReadings { at_start_clock: at, at_present_clock: at };
     let interpret = |since, at, now, before| {
-        ReportedStart::interpret(UnixTime::from_ms(since), readings(at), heard(now, now - 1000.0), before)
+        ReportedStart::interpret(
+            UnixTime::from_ms(since),
+            readings(at),
+            report_time(now, now - 1000.0),
+            before,
+        )
     };
     let first = interpret(5.0, NOW - 2000.0, NOW, None);
     assert_eq!(
@@ -75,18 +85,22 @@
 
 #[test]
 fn what_was_missed_during_a_silence_may_be_as_old_as_the_silence() {
-    let mut contact = Contact::default();
-    assert_eq!(contact.heard_without(), Ms::NEG_INFINITY);
-    contact.heard(0.0);
-    assert_eq!(contact.heard_without(), Ms::NEG_INFINITY, "the first list may report any start");
+    let mut contact = ChannelContact::default();
+    assert_eq!(contact.last_contact_without_report(), Ms::NEG_INFINITY);
+    contact.record_contact(0.0);
+    assert_eq!(
+        contact.last_contact_without_report(),
+        Ms::NEG_INFINITY,
+        "the first list may report any start"
+    );
     for second in 1..=10 {
-        contact.heard(f64::from(second) * 1000.0);
+        contact.record_contact(f64::from(second) * 1000.0);
     }
-    assert_eq!(contact.heard_without(), 9000.0);
-    contact.heard(19_000.0);
-    contact.heard(19_001.0);
-    assert_eq!(contact.heard_without(), 10_000.0, "the channel was down");
-    contact.heard(20_000.0);
-    contact.heard(21_000.0);
-    assert_eq!(contact.heard_without(), 20_000.0, "caught up");
+    assert_eq!(contact.last_contact_without_report(), 9000.0);
+    contact.record_contact(19_000.0);
+    contact.record_contact(19_001.0);
+    assert_eq!(contact.last_contact_without_report(), 10_000.0, "the channel was down");
+    contact.record_contact(20_000.0);
+    contact.record_contact(21_000.0);
+    assert_eq!(contact.last_contact_without_report(), 20_000.0, "caught up");
 }
--- a/crates/node/src/memory/store/batch.rs
+++ b/crates/node/src/state/store/batch.rs
@@ -4,7 +4,7 @@
 use super::expiry::ExpiryState;
 use super::{Store, MAX_VALUE};
 use crate::core::lock;
-use crate::memory::record::Record;
+use crate::state::record::Record;
 use corkbay_ledger::Reservation;
 use std::collections::BTreeSet;
 
--- a/crates/node/src/memory/store/configuration.rs
+++ b/crates/node/src/state/store/configuration.rs
@@ -1,8 +1,8 @@
 //! Paged reads of the configuration records (functions and workers).
 use super::Store;
 use crate::core::{lock, UnixTime};
-use crate::memory::keys::CONFIGURATION;
-use crate::memory::record::Record;
+use crate::state::keys::CONFIGURATION;
+use crate::state::record::Record;
 use std::ops::Bound;
 use std::sync::Arc;
 
--- a/crates/node/src/memory/store/draft.rs
+++ b/crates/node/src/state/store/draft.rs
@@ -1,6 +1,6 @@
 //! Record versions to be written.
 use crate::clock::UnixTime;
-use crate::memory::record::Text;
+use crate::state::record::Text;
 use corkbay_ledger::Reservation;
 
 /// Which nodes may write a key.
--- a/crates/node/src/memory/store/error.rs
+++ b/crates/node/src/state/store/error.rs
@@ -1,5 +1,5 @@
 //! Errors of the store.
-use crate::memory::log::LogError;
+use crate::state::log::LogError;
 use corkbay::Ms;
 use corkbay_ledger::pressure::{decide_at_cap, Decision, FullAccount};
 use corkbay_ledger::{CapExceeded, Purpose};
--- a/crates/node/src/memory/store/expiry.rs
+++ b/crates/node/src/state/store/expiry.rs
@@ -2,8 +2,8 @@
 use super::error::{refuse, StoreError};
 use super::{Store, COMPACTION_PAGE_RECORDS};
 use crate::core::{lock, monotonic_ms};
-use crate::memory::keys::is_node_local;
-use crate::memory::record::Record;
+use crate::state::keys::is_node_local;
+use crate::state::record::Record;
 use corkbay::Ms;
 use corkbay_ledger::{CapExceeded, Purpose, Reservation};
 use std::ops::Bound;
--- a/crates/node/src/memory/store/listeners.rs
+++ b/crates/node/src/state/store/listeners.rs
@@ -1,8 +1,8 @@
 //! Listeners that are notified of writes and changes.
 use super::Store;
 use crate::core::lock;
-use crate::memory::keys::is_node_local;
-use crate::memory::record::Record;
+use crate::state::keys::is_node_local;
+use crate::state::record::Record;
 use may::sync::mpsc;
 
 /// Channels that receive records.
--- a/crates/node/src/memory/store/tests.rs
+++ b/crates/node/src/state/store/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
-use crate::memory::record::Text;
-use crate::memory::roomy;
+use crate::state::record::Text;
+use crate::state::roomy;
 use corkbay_ledger::{Budget, Shares, KIB, MIB};
 use proptest::prelude::*;
 
@@ -158,7 +158,7 @@
     let store = Arc::new(Store { log: Some(log), ..Store::in_memory("one", ledger.clone()) });
     let write = |key: &'static str| {
         let store = store.clone();
-        crate::life::spawn(move || store.put(&mut Draft::new(key, text("x".repeat(1000)))).is_ok())
+        crate::lifecycle::spawn(move || store.put(&mut Draft::new(key, text("x".repeat(1000)))).is_ok())
     };
     let writes: Vec<_> = ["function/a", "function/b"].into_iter().map(write).collect();
     let began = std::time::Instant::now();
--- a/crates/node/src/memory/store/tests/batches.rs
+++ b/crates/node/src/state/store/tests/batches.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::memory::store::MAX_BATCH;
+use crate::state::store::MAX_BATCH;
 
 fn drafts(keys: &[String]) -> Vec<Draft<'_>> {
     keys.iter().map(|key| Draft::new(key, text(1))).collect()
--- a/crates/node/src/memory/store/tests/sharing.rs
+++ b/crates/node/src/state/store/tests/sharing.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::memory::log::LogError;
+use crate::state::log::LogError;
 use may::sync::mpsc;
 use std::path::{Path, PathBuf};
 
--- a/crates/node/src/timers/tests.rs
+++ b/crates/node/src/timers/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::life::spawn;
+use crate::lifecycle::spawn;
 use may::sync::mpsc::channel;
 use std::collections::BTreeSet;
 
--- a/crates/node/src/wire/accept.rs
+++ b/crates/node/src/wire/accept.rs
@@ -4,9 +4,9 @@
 
 use super::socket::Socket;
 use crate::core::{lock, monotonic_ms};
-use crate::life::spawn;
-use crate::memory::clients::{ClientTable, NoneIdle};
-use crate::memory::room::wait;
+use crate::lifecycle::spawn;
+use crate::state::clients::{ClientTable, NoneIdle};
+use crate::state::memory_wait::wait_for_memory;
 use crate::timers;
 pub use connection::{Connection, Kept, CONNECTION_BYTES};
 use corkbay::Ms;
@@ -262,7 +262,9 @@
                 }
                 match missing {
                     MissingResource::Slot => self.slots.wait_for_free(EVICTION_WAIT),
-                    MissingResource::Memory(account) => wait(&account, CONNECTION_BYTES, EVICTION_WAIT_MS),
+                    MissingResource::Memory(account) => {
+                        wait_for_memory(&account, CONNECTION_BYTES, EVICTION_WAIT_MS)
+                    }
                 }
                 continue;
             }
@@ -281,7 +283,7 @@
             match missing {
                 MissingResource::Slot => self.slots.wait_for_change(seen_changes, EVICTION_POLL_INTERVAL),
                 MissingResource::Memory(account) => {
-                    wait(&account, CONNECTION_BYTES, EVICTION_POLL_INTERVAL.as_millis() as Ms)
+                    wait_for_memory(&account, CONNECTION_BYTES, EVICTION_POLL_INTERVAL.as_millis() as Ms)
                 }
             }
         }
--- a/crates/node/src/wire/accept/connection.rs
+++ b/crates/node/src/wire/accept/connection.rs
@@ -2,9 +2,9 @@
 use super::slots::{Slot, SlotKind, Slots};
 use super::SharedClientTable;
 use crate::core::{lock, monotonic_ms};
-use crate::memory::clients::ClientState;
+use crate::state::clients::ClientState;
 use crate::timers;
-use crate::wire::passage::{AnswerForwarder, Passage};
+use crate::wire::connection_handover::{AnswerForwarder, HandoverSender};
 use crate::wire::socket::Socket;
 use corkbay::Ms;
 use corkbay_ledger::Account;
@@ -167,7 +167,7 @@
 
     /// Hands the connection over to the successor, unless an answer is being written. Called by the reader when no incomplete
     /// message is buffered; it must not read any more if this returns true.
-    pub fn hand_over(&self, handover: &Passage, unanswered: impl FnOnce() -> Vec<i32>) -> bool {
+    pub fn hand_over(&self, handover: &HandoverSender, unanswered: impl FnOnce() -> Vec<i32>) -> bool {
         let Ok(mut forwarder_slot) = self.forwarder.try_lock() else { return false };
         if !handover.is_open() || !lock(&self.clients).hand_over(self.number) {
             return false;
--- a/crates/node/src/wire/channel.rs
+++ b/crates/node/src/wire/command_channel.rs
@@ -2,8 +2,8 @@
 use super::socket::Socket;
 use super::sse::Stream;
 use crate::core::{lock, monotonic_ms, Invoker, UnixTime};
-use crate::memory::roster::Listing;
-use crate::memory::starts::Contact;
+use crate::state::roster::WorkerListing;
+use crate::state::start_times::ChannelContact;
 use crate::timers;
 use corkbay::{Ms, WorkerState};
 use corkbay_duty::ReconnectBackoff;
@@ -24,7 +24,7 @@
 
 /// An event of the channel.
 #[derive(Clone, Debug, Deserialize)]
-pub struct News {
+pub struct ChannelEvent {
     /// The event's number, used if the server-sent event has no numeric id.
     #[serde(default)]
     pub cursor: u64,
@@ -77,10 +77,10 @@
 }
 
 impl Endpoint {
-    /// Converts the entry. `heard_without` is when the channel was last received without this event, in milliseconds.
-    fn listing(self, heard_without: Ms) -> Listing {
+    /// Converts the entry. `last_contact_without_report` is when the channel was last received without this event, in milliseconds.
+    fn listing(self, last_contact_without_report: Ms) -> WorkerListing {
         let endpoint = self;
-        Listing {
+        WorkerListing {
             name: endpoint.name,
             address: endpoint.address,
             zone: endpoint.zone,
@@ -93,23 +93,23 @@
             },
             weight: endpoint.weight,
             since: UnixTime::from_ms(endpoint.since_ms),
-            heard_without,
+            last_contact_without_report,
         }
     }
 }
 
-impl News {
+impl ChannelEvent {
     /// Reports an event that was known at the start to the invoker.
     pub fn remember(self, invoker: &Arc<Invoker>) {
         self.report(invoker, Ms::NEG_INFINITY, true);
     }
 
-    /// Reports the event to the invoker. `heard_without` is when the channel was last received without it, in milliseconds;
+    /// Reports the event to the invoker. `last_contact_without_report` is when the channel was last received without it, in milliseconds;
     /// `remembered` is set for events that were known at the start.
-    fn report(self, invoker: &Arc<Invoker>, heard_without: Ms, remembered: bool) {
+    fn report(self, invoker: &Arc<Invoker>, last_contact_without_report: Ms, remembered: bool) {
         if let Some(nodes) = self.nodes {
             let parse_entry = |entry: Value| match Endpoint::deserialize(&entry) {
-                Ok(endpoint) => Some(endpoint.listing(heard_without)),
+                Ok(endpoint) => Some(endpoint.listing(last_contact_without_report)),
                 Err(error) => {
                     invoker.counters.channel_odd.add();
                     tracing::warn!(%entry, %error, "command channel: an entry was left out");
@@ -123,7 +123,7 @@
 }
 
 /// The address of the channel, which a configuration reload may change, and the current connection to it.
-pub struct Line {
+pub struct CommandChannel {
     connection: Mutex<Connection>,
     received: AtomicBool,
 }
@@ -133,11 +133,11 @@
     socket: Weak<Socket>,
 }
 
-impl Line {
+impl CommandChannel {
     /// Creates a channel with the given address.
     pub fn new(address: SocketAddr) -> Arc<Self> {
         let connection = Mutex::new(Connection { address, socket: Weak::new() });
-        Arc::new(Line { connection, received: AtomicBool::new(false) })
+        Arc::new(CommandChannel { connection, received: AtomicBool::new(false) })
     }
 
     /// Switches to another address: the current connection is closed at once and the cursor is kept.
@@ -168,8 +168,8 @@
 
 /// Reads the channel for as long as the process lives. It reconnects whenever the connection ends: at once if that brought
 /// events or the address changed, otherwise after a backoff delay.
-pub fn follow(invoker: &Arc<Invoker>, channel: &Line, mut cursor: u64) {
-    let (mut backoff, mut contact) = (ReconnectBackoff::default(), Contact::default());
+pub fn follow(invoker: &Arc<Invoker>, channel: &CommandChannel, mut cursor: u64) {
+    let (mut backoff, mut contact) = (ReconnectBackoff::default(), ChannelContact::default());
     loop {
         let (cursor_before, address) = (cursor, channel.address());
         invoker.counters.channel_calls.add();
@@ -187,10 +187,10 @@
 
 fn read_events(
     invoker: &Arc<Invoker>,
-    channel: &Line,
+    channel: &CommandChannel,
     address: SocketAddr,
     cursor: &mut u64,
-    contact: &mut Contact,
+    contact: &mut ChannelContact,
 ) -> io::Result<()> {
     let socket = Arc::new(Socket::connect(&address, CONNECT_TIMEOUT, SILENCE_TIMEOUT)?);
     if !channel.set_connection(address, &socket) {
@@ -208,18 +208,18 @@
         }
         let events = stream.feed(&chunk[..size]).map_err(io::Error::other)?;
         channel.received.store(true, Ordering::Release);
-        contact.heard(monotonic_ms());
+        contact.record_contact(monotonic_ms());
         for event in events {
-            let news: Result<News, _> = serde_json::from_str(&event.data);
+            let parsed: Result<ChannelEvent, _> = serde_json::from_str(&event.data);
             let number = event.id.and_then(|id| id.parse().ok());
-            let number = number.or(news.as_ref().ok().map(|news| news.cursor)).unwrap_or(0);
+            let number = number.or(parsed.as_ref().ok().map(|parsed| parsed.cursor)).unwrap_or(0);
             // Events received before a reconnect may be sent again.
             if number <= *cursor {
                 continue;
             }
             *cursor = number;
-            match news {
-                Ok(news) => news.report(invoker, contact.heard_without(), false),
+            match parsed {
+                Ok(parsed) => parsed.report(invoker, contact.last_contact_without_report(), false),
                 // Requesting the event again would fail in the same way and hold up the events after it.
                 Err(error) => {
                     invoker.counters.channel_odd.add();
--- a/crates/node/src/wire/passage.rs
+++ b/crates/node/src/wire/connection_handover.rs
@@ -44,9 +44,9 @@
     End { message: Message, held: Box<dyn Send> },
 }
 
-/// The channel to the successor; closed until [`Passage::open`] succeeds.
+/// The channel to the successor; closed until [`HandoverSender::open`] succeeds.
 #[derive(Default)]
-pub struct Passage {
+pub struct HandoverSender {
     sender: Mutex<Option<(Sender<Command>, JoinHandle<()>)>>,
     next_number: AtomicU64,
     /// Locked while a connection is sent, since a second descriptor of it is open until then. At most one such duplicate
@@ -60,7 +60,7 @@
     commands: Sender<Command>,
 }
 
-impl Passage {
+impl HandoverSender {
     /// Connects to the process with that slot number.
     pub fn open(&self, directory: &Path, slot: usize) -> io::Result<()> {
         let directory = File::open(directory)?;
--- a/crates/node/src/wire/feed/follower.rs
+++ b/crates/node/src/wire/feed/follower.rs
@@ -2,14 +2,14 @@
 use super::records::ConfigurationRecords;
 use crate::core::lock;
 use crate::core::monotonic_ms;
-use crate::life::spawn;
-use crate::memory::log::LogError;
-use crate::memory::record::{Record, Text};
-use crate::memory::store::{Store, StoreError};
+use crate::lifecycle::spawn;
+use crate::state::log::LogError;
+use crate::state::record::{Record, Text};
+use crate::state::store::{Store, StoreError};
 use crate::timers;
 use crate::wire::framing::{self, FramingError, Head, Received, MAX_MESSAGE};
-use crate::wire::index::{RecordIndex, Scope};
-use crate::wire::news::{News, OnNews};
+use crate::wire::record_changes::{ChangedKinds, OnRecordChanges};
+use crate::wire::record_index::{RecordIndex, Scope};
 use crate::wire::socket::Socket;
 use corkbay::Ms;
 use corkbay_feed::{
@@ -159,14 +159,14 @@
     Err(OtherConfiguration)
 }
 
-/// Follows control nodes for as long as the handle lives: stores received records and reports changes to `on_news`.
+/// Follows control nodes for as long as the handle lives: stores received records and reports changes to `on_record_changes`.
 ///
 /// # Errors
 /// [`NoControlNodes`] if `options` names no control node.
 pub fn follow(
     store: Arc<Store>,
     options: FollowOptions,
-    on_news: OnNews,
+    on_record_changes: OnRecordChanges,
 ) -> Result<FollowerHandle, NoControlNodes> {
     let nodes: Vec<ControlNode> = options.controls.iter().map(control_node).collect();
     let choice = ControlChoice::new(store.node(), options.zone.as_deref(), &nodes)?;
@@ -186,7 +186,7 @@
         connection: None,
         write_pause_ms: FIRST_WRITE_PAUSE_MS,
         counters: FollowerCounters::default(),
-        on_news,
+        on_record_changes,
         shared: shared.clone(),
     };
     spawn(move || task.run());
@@ -220,7 +220,7 @@
     /// Pause after the next failed write, in milliseconds.
     write_pause_ms: Ms,
     counters: FollowerCounters,
-    on_news: OnNews,
+    on_record_changes: OnRecordChanges,
     shared: Arc<SharedState>,
 }
 
@@ -282,7 +282,8 @@
         if matches!(message, FollowerMessage::Buckets { .. }) {
             self.counters.comparisons += 1;
         }
-        match framing::send(self.account(), &mut connection.socket.patient(STALL_TIMEOUT), message) {
+        match framing::send(self.account(), &mut connection.socket.with_read_timeout(STALL_TIMEOUT), message)
+        {
             Ok(bytes) => self.counters.sent_bytes += bytes as u64,
             Err(error) => self.close_failed(number, &error),
         }
@@ -304,12 +305,12 @@
     }
 
     fn persist(&mut self, batch: BatchNumber, records: Vec<Record>, position: Option<Position>) {
-        let news = News::of(&records);
+        let changed = ChangedKinds::of(&records);
         match self.write(batch, records, position) {
             Ok(count) => {
                 self.write_pause_ms = FIRST_WRITE_PAUSE_MS;
-                if count > 0 && news.workers {
-                    (self.on_news)(news);
+                if count > 0 && changed.workers {
+                    (self.on_record_changes)(changed);
                 }
                 self.update_index();
                 let records = ConfigurationRecords { store: &self.store, index: &self.index };
@@ -408,7 +409,7 @@
         Err(error) if error.kind() == ErrorKind::TimedOut => return Ok(None),
         Err(error) => return Err(error.into()),
     };
-    let mut reader = socket.patient(STALL_TIMEOUT);
+    let mut reader = socket.with_read_timeout(STALL_TIMEOUT);
     reader.read_exact(&mut head[head_bytes..])?;
     framing::receive_after(account, &mut reader, head, MAX_MESSAGE).map(Some)
 }
--- a/crates/node/src/wire/feed/records.rs
+++ b/crates/node/src/wire/feed/records.rs
@@ -1,7 +1,7 @@
 //! Read access to the configuration records of a store for the protocol logic.
-use crate::memory::record::Record;
-use crate::memory::store::Store;
-use crate::wire::index::{RecordIndex, Scope};
+use crate::state::record::Record;
+use crate::state::store::Store;
+use crate::wire::record_index::{RecordIndex, Scope};
 use corkbay_feed::{BucketHashes, BucketSet, Page, Records};
 
 /// Number of records that are read from the store at a time.
--- a/crates/node/src/wire/feed/records/tests.rs
+++ b/crates/node/src/wire/feed/records/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
-use crate::memory::record::Text;
-use crate::memory::roomy;
-use crate::memory::store::Draft;
+use crate::state::record::Text;
+use crate::state::roomy;
+use crate::state::store::Draft;
 use corkbay_feed::{BucketNumber, FeedRecord};
 
 const FUNCTION_COUNT: usize = 300;
--- a/crates/node/src/wire/feed/server.rs
+++ b/crates/node/src/wire/feed/server.rs
@@ -2,13 +2,13 @@
 use super::records::ConfigurationRecords;
 use super::session::Session;
 use crate::core::{lock, monotonic_ms, UnixTime};
-use crate::life::spawn;
-use crate::memory::record::Record;
-use crate::memory::store::Store;
+use crate::lifecycle::spawn;
+use crate::state::record::Record;
+use crate::state::store::Store;
 use crate::timers;
 use crate::wire::accept::{Acceptor, Connection, ConnectionLimits};
 use crate::wire::framing::{self, FramingError};
-use crate::wire::index::{RecordIndex, Scope};
+use crate::wire::record_index::{RecordIndex, Scope};
 use corkbay::Ms;
 use corkbay_feed::{
     CloseReason, Feed, FeedAction, FeedCounters, FeedLimits, FollowerLag, FollowerMessage, Position,
@@ -198,7 +198,7 @@
         connection: &Connection,
     ) -> Result<(), FramingError> {
         loop {
-            let mut socket = connection.patient(READ_TIMEOUT);
+            let mut socket = connection.with_read_timeout(READ_TIMEOUT);
             let received =
                 framing::receive::<FollowerMessage>(self.account(), &mut socket, MAX_FOLLOWER_MESSAGE_BYTES)?;
             self.received_bytes.fetch_add(received.bytes as u64, Relaxed);
--- a/crates/node/src/wire/feed/session.rs
+++ b/crates/node/src/wire/feed/session.rs
@@ -1,7 +1,7 @@
 //! A follower's connection and its send queue.
 use crate::core::lock;
-use crate::memory::record::Record;
-use crate::memory::room;
+use crate::state::memory_wait;
+use crate::state::record::Record;
 use crate::wire::accept::Connection;
 use crate::wire::framing::{self, FramingError};
 use corkbay_feed::{CloseReason, ControlMessage};
@@ -86,11 +86,11 @@
         let mut waits = 0;
         loop {
             // Writes on the connection have their own timeout while the follower accepts no bytes.
-            let mut socket = self.connection.patient(super::server::WRITE_STALL);
+            let mut socket = self.connection.with_read_timeout(super::server::WRITE_STALL);
             match framing::send(account, &mut socket, message) {
                 Err(FramingError::Full(full)) if waits < MAX_MEMORY_WAITS => {
                     waits += 1;
-                    room::wait(&full.account, full.asked, MEMORY_WAIT_MS);
+                    memory_wait::wait_for_memory(&full.account, full.asked, MEMORY_WAIT_MS);
                 }
                 end => return end,
             }
--- a/crates/node/src/wire/feed/status.rs
+++ b/crates/node/src/wire/feed/status.rs
@@ -1,6 +1,6 @@
 //! Status report of a node's role in the distribution of configuration.
 use super::{FeedReport, FeedServer, FollowerHandle, FollowerReport};
-use crate::wire::replicate::Mesh;
+use crate::wire::replication::Mesh;
 use corkbay_feed::{FollowerLag, FollowerStage, FollowerState};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
--- a/crates/node/src/wire/framing/tests.rs
+++ b/crates/node/src/wire/framing/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::memory::roomy;
+use crate::state::roomy;
 use corkbay_ledger::Purpose;
 
 fn account() -> Account {
--- a/crates/node/src/wire/http_workers.rs
+++ b/crates/node/src/wire/http_workers.rs
@@ -1,16 +1,16 @@
 //! Workers that serve the invoke API themselves, called in either of its styles: the connection is held until the
 //! answer comes, or the worker accepts the call at once and the answer is collected later.
 use super::http::ResponseHead;
-use super::intake::{Intake, CHUNK};
 use super::invoke::{DEADLINE_HEADER, MAY_HAVE_RUN_HEADER};
+use super::receive_buffer::{ReceiveBuffer, CHUNK};
 use super::socket::Socket;
 use super::workers::{unanswered_error, PARTIAL_MESSAGE_TIMEOUT};
 use crate::core::{
     lock, monotonic_ms, until, AttemptError, Call, CancelNotice, Cause, Ending, Exchange, Verdict, Workers,
 };
-use crate::life::spawn;
-use crate::memory::link::Link;
-use crate::memory::roster::Host;
+use crate::lifecycle::spawn;
+use crate::state::exchanges::ConnectionExchanges;
+use crate::state::roster::Host;
 use crate::timers;
 use corkbay::{ModelId, Ms};
 use corkbay_ledger::{Account, Purpose};
@@ -63,7 +63,7 @@
 
 /// One attempt, shared by its task and its [`HttpExchange`].
 struct Attempt {
-    link: Mutex<Link<Ending>>,
+    exchanges: Mutex<ConnectionExchanges<Ending>>,
     id: u64,
     /// Shut down when the attempt is given up.
     socket: Mutex<Option<Arc<Socket>>>,
@@ -111,13 +111,13 @@
     ) -> Box<dyn Exchange> {
         let id = call.request.id.0;
         let attempt = Arc::new(Attempt {
-            link: Mutex::new(Link::new(1)),
+            exchanges: Mutex::new(ConnectionExchanges::new(1)),
             id,
             socket: Mutex::default(),
             location: Mutex::default(),
         });
-        let refused = lock(&attempt.link).open(id, end).err();
-        debug_assert!(refused.is_none(), "a new link admits an exchange");
+        let refused = lock(&attempt.exchanges).open(id, end).err();
+        debug_assert!(refused.is_none(), "a new connection admits an exchange");
         let (limits, account) = (self.limits, self.account.clone());
         let exchange = HttpExchange {
             attempt: attempt.clone(),
@@ -133,7 +133,7 @@
             attempt.settle(Err(AttemptError::Unfinished(Cause::Barred)));
             return Box::new(exchange);
         };
-        let receive_buffer = Intake::new(&self.account, Purpose::Workers);
+        let receive_buffer = ReceiveBuffer::new(&self.account, Purpose::Workers);
         let (style, limits, in_flight) = (self.style, self.limits, self.in_flight.clone());
         let (host, call) = (host.clone(), call.clone());
         spawn(move || {
@@ -167,7 +167,7 @@
 impl Drop for EndGuard {
     fn drop(&mut self) {
         self.1.fetch_sub(1, Ordering::Relaxed);
-        let open = lock(&self.0.link).close();
+        let open = lock(&self.0.exchanges).close();
         for (stage, end) in open {
             end(Err(unanswered_error(stage, Cause::Broken)));
         }
@@ -177,7 +177,7 @@
 impl Attempt {
     /// Reports the result, unless the attempt was given up before.
     fn settle(&self, end: Result<Vec<u8>, AttemptError>) {
-        let waiter = lock(&self.link).give_up(self.id);
+        let waiter = lock(&self.exchanges).give_up(self.id);
         if let Some((_, waiter)) = waiter {
             waiter(end);
         }
@@ -191,23 +191,23 @@
         Times { expires, send_by }: Times,
         style: Style,
         limits: &Limits,
-        mut receive_buffer: Intake,
+        mut receive_buffer: ReceiveBuffer,
     ) -> Result<Vec<u8>, AttemptError> {
         let socket = self.connect(host, limits.connect)?;
-        if host.barred() || monotonic_ms() > send_by {
+        if host.is_blocked() || monotonic_ms() > send_by {
             return Err(AttemptError::Unfinished(Cause::Barred));
         }
-        if !lock(&self.link).begin(self.id) {
+        if !lock(&self.exchanges).begin(self.id) {
             return Err(AttemptError::Unfinished(Cause::GivenUp));
         }
         let request = post(host, call, expires, style);
         socket.write(&request).map_err(|_| AttemptError::Unfinished(Cause::Broken))?;
-        lock(&self.link).whole(self.id);
+        lock(&self.exchanges).mark_written(self.id);
         let mut response = receive(&socket, expires, &mut receive_buffer, limits.answer)
             .map_err(|e| AttemptError::Unanswered(cause(&e)))?;
         drop(socket);
         while let Some(location) = collect_location(&response, style) {
-            if lock(&self.link).is_closed() {
+            if lock(&self.exchanges).is_closed() {
                 return Err(AttemptError::Unanswered(Cause::GivenUp));
             }
             *lock(&self.location) = Some(location.clone());
@@ -242,9 +242,9 @@
 impl Exchange for HttpExchange {
     fn give_up(&mut self, cause: Cause) -> Option<AttemptError> {
         let (stage, _) = {
-            let mut link = lock(&self.attempt.link);
-            let given_up = link.give_up(self.attempt.id)?;
-            link.close();
+            let mut exchanges = lock(&self.attempt.exchanges);
+            let given_up = exchanges.give_up(self.attempt.id)?;
+            exchanges.close();
             given_up
         };
         if let Some(socket) = lock(&self.attempt.socket).take() {
@@ -254,7 +254,7 @@
         let held = self.account.reserve(ATTEMPT_BYTES);
         if let (Some(location), Ok(held)) = (location, held) {
             let (host, limits, notice) = (self.host.clone(), self.limits, self.notice.clone());
-            let mut receive_buffer = Intake::new(&self.account, Purpose::Workers);
+            let mut receive_buffer = ReceiveBuffer::new(&self.account, Purpose::Workers);
             spawn(move || {
                 // Best effort: nothing depends on whether the cancellation succeeds.
                 let request = format!(
@@ -317,12 +317,12 @@
 fn receive(
     socket: &Socket,
     expires: Ms,
-    receive_buffer: &mut Intake,
+    receive_buffer: &mut ReceiveBuffer,
     max_body_bytes: usize,
 ) -> io::Result<WorkerResponse> {
     let (mut chunk, mut has_begun) = (vec![0; CHUNK], false);
     receive_buffer.bytes().clear();
-    let mut fill = |receive_buffer: &mut Intake| {
+    let mut fill = |receive_buffer: &mut ReceiveBuffer| {
         let size = receive_buffer.fill(
             socket,
             &mut chunk,
--- a/crates/node/src/wire/http_workers/tests.rs
+++ b/crates/node/src/wire/http_workers/tests.rs
@@ -5,11 +5,15 @@
 #[test]
 fn an_attempt_that_ends_while_it_is_written_may_have_run() {
     let (sender, end) = std::sync::mpsc::channel();
-    let mut link = Link::new(1);
-    assert!(link.open(1, Box::new(move |end| _ = sender.send(end)) as Ending).is_ok());
-    assert!(link.begin(1));
-    let attempt =
-        Attempt { link: Mutex::new(link), id: 1, socket: Mutex::default(), location: Mutex::default() };
+    let mut exchanges = ConnectionExchanges::new(1);
+    assert!(exchanges.open(1, Box::new(move |end| _ = sender.send(end)) as Ending).is_ok());
+    assert!(exchanges.begin(1));
+    let attempt = Attempt {
+        exchanges: Mutex::new(exchanges),
+        id: 1,
+        socket: Mutex::default(),
+        location: Mutex::default(),
+    };
     drop(EndGuard(Arc::new(attempt), Arc::new(AtomicUsize::new(1))));
     assert_eq!(end.recv(), Ok(Err(AttemptError::Unanswered(Cause::Broken))));
 }
--- a/crates/node/src/wire/invoke.rs
+++ b/crates/node/src/wire/invoke.rs
@@ -16,12 +16,12 @@
 use super::accept::Connection;
 use super::feed::Role;
 use super::http::{RequestHead, Response};
-use super::intake::{Intake, CHUNK};
+use super::receive_buffer::{ReceiveBuffer, CHUNK};
 use crate::core::{monotonic_ms, Invoker};
-use crate::memory::catalog::Catalog;
-use crate::memory::clients::ClientState;
-use crate::memory::invocations::Invocations;
-use crate::memory::room::NO_ROOM;
+use crate::state::catalog::Catalog;
+use crate::state::clients::ClientState;
+use crate::state::invocations::Invocations;
+use crate::state::memory_wait::OUT_OF_MEMORY_KIND;
 use crate::timers;
 use corkbay::RequestId;
 use corkbay_ledger::{Purpose, Reservation};
@@ -100,9 +100,9 @@
     current: &mut Option<Current>,
 ) -> io::Result<()> {
     let (mut receive_buffer, mut chunk) =
-        (Intake::new(connection.account(), Purpose::Clients), vec![0; CHUNK]);
+        (ReceiveBuffer::new(connection.account(), Purpose::Clients), vec![0; CHUNK]);
     let chunk = chunk.as_mut_slice();
-    let fill = |receive_buffer: &mut Intake, chunk: &mut [u8]| loop {
+    let fill = |receive_buffer: &mut ReceiveBuffer, chunk: &mut [u8]| loop {
         let within = if receive_buffer.is_empty() { IDLE_TIMEOUT } else { REQUEST_READ_TIMEOUT };
         match receive_buffer.fill(connection, chunk, within) {
             Ok(0) => handle_end_of_input(connection)?,
@@ -123,7 +123,7 @@
             match RequestHead::decode(receive_buffer.bytes()) {
                 Ok(Some(head)) => break head,
                 Ok(None) => match fill(&mut receive_buffer, chunk) {
-                    Err(error) if error.kind() == NO_ROOM => {
+                    Err(error) if error.kind() == OUT_OF_MEMORY_KIND => {
                         return respond_and_close(connection, &mut receive_buffer, chunk, current, no_room())
                     }
                     end => end?,
@@ -149,7 +149,7 @@
                 Ok(false) => {
                     let room = receive_buffer.beside(body.capacity());
                     match room.and_then(|()| fill(&mut receive_buffer, chunk)) {
-                        Err(error) if error.kind() == NO_ROOM => {
+                        Err(error) if error.kind() == OUT_OF_MEMORY_KIND => {
                             return respond_and_close(
                                 connection,
                                 &mut receive_buffer,
@@ -219,7 +219,7 @@
 /// discarded. A disconnect is noticed even behind input that does not fit.
 fn wait_for_answer(
     connection: &Connection,
-    pipelined: &mut Intake,
+    pipelined: &mut ReceiveBuffer,
     chunk: &mut [u8],
     current: &mut Option<Current>,
     keep_input: bool,
@@ -252,7 +252,7 @@
 /// Responds to a request that can't be read any further, after the responses to earlier requests.
 fn respond_and_close(
     connection: &Connection,
-    receive_buffer: &mut Intake,
+    receive_buffer: &mut ReceiveBuffer,
     chunk: &mut [u8],
     current: &mut Option<Current>,
     answer: Response,
--- a/crates/node/src/wire/invoke/calls.rs
+++ b/crates/node/src/wire/invoke/calls.rs
@@ -2,9 +2,9 @@
 use super::responses::{accepted, answer_response, problem, refused, store_failure};
 use super::{Current, InvokeApi, RouteResult, DEADLINE_HEADER};
 use crate::core::{monotonic_ms, Answer, Call, Failure, NotTaken, Taken, UnixTime};
-use crate::life::spawn;
-use crate::memory::catalog::Function;
-use crate::memory::invocations::{Deferred, Key, Promise, Repeat, Rerun};
+use crate::lifecycle::spawn;
+use crate::state::catalog::Function;
+use crate::state::invocations::{Deferred, Key, Promise, Repeat, Rerun};
 use crate::wire::accept::Connection;
 use crate::wire::http::{RequestHead, Response};
 use corkbay::{position, Effect, Ms, Request, RequestId};
--- a/crates/node/src/wire/invoke/responses.rs
+++ b/crates/node/src/wire/invoke/responses.rs
@@ -1,8 +1,8 @@
 //! Responses of the invoke API: final answers, problems and refusals.
 use super::calls::ENDING_RETRY_AFTER_MS;
 use crate::core::{Answer, Failure};
-use crate::memory::catalog::CatalogError;
-use crate::memory::store::StoreError;
+use crate::state::catalog::CatalogError;
+use crate::state::store::StoreError;
 use crate::wire::feed::ReadOnly;
 use crate::wire::http::{reason, HttpError, Response};
 use corkbay::{Ms, RequestId};
--- a/crates/node/src/wire/invoke/resume.rs
+++ b/crates/node/src/wire/invoke/resume.rs
@@ -1,8 +1,8 @@
 //! Resumes deferred calls that an earlier process accepted and did not finish, if their class may be repeated.
 use super::InvokeApi;
 use crate::core::{monotonic_ms, Answer, Call, Failure, NotTaken, Taken};
-use crate::life::spawn;
-use crate::memory::invocations::{Deferred, Promise, Resumable};
+use crate::lifecycle::spawn;
+use crate::state::invocations::{Deferred, Promise, Resumable};
 use crate::timers;
 use corkbay::{position, Effect, Request};
 use std::sync::Arc;
--- a/crates/node/src/wire/invoke/routes.rs
+++ b/crates/node/src/wire/invoke/routes.rs
@@ -2,8 +2,8 @@
 use super::calls::Admitted;
 use super::responses::{change_response, json_response, no_room, problem, read_only_response, refused};
 use super::{InvokeApi, RouteResult};
-use crate::memory::catalog::{CatalogError, Function, Object, Worker};
-use crate::memory::room::grow;
+use crate::state::catalog::{CatalogError, Function, Object, Worker};
+use crate::state::memory_wait::resize_or_wait;
 use crate::wire::accept::Connection;
 use crate::wire::http::{RequestHead, Response};
 use crate::wire::metrics;
@@ -107,7 +107,7 @@
 fn list_response(entries: Object, connection: &Connection) -> RouteResult {
     let mut reservation = connection.account().empty_reservation();
     // The text is held twice: by itself and in the encoded response.
-    match grow(&mut reservation, Purpose::Clients, 2 * entries.size()) {
+    match resize_or_wait(&mut reservation, Purpose::Clients, 2 * entries.size()) {
         Ok(()) => {
             RouteResult::Counted(Response::new(200, "application/json", entries.into_text()), reservation)
         }
--- a/crates/node/src/wire/metrics.rs
+++ b/crates/node/src/wire/metrics.rs
@@ -1,7 +1,7 @@
 //! Counters and memory accounts of the process, as JSON and in the OpenMetrics text format that Prometheus reads.
 use super::feed::{FeedReport, FollowerReport, Role};
 use crate::core::Invoker;
-use crate::memory::resident::resident_bytes;
+use crate::state::resident::resident_bytes;
 use corkbay_ledger::AccountStatus;
 use prometheus_client::encoding::text::encode;
 use prometheus_client::metrics::counter::Counter;
--- a/crates/node/src/wire/operators.rs
+++ b/crates/node/src/wire/operators.rs
@@ -2,9 +2,9 @@
 //! gets no answer.
 use super::accept::Connection;
 use super::http::{HttpError, RequestHead, Response};
-use super::intake::{Intake, CHUNK};
+use super::receive_buffer::{ReceiveBuffer, CHUNK};
 use crate::core::{monotonic_ms, until, Invoker};
-use crate::life::handover::{CommandError, OperatorCommand, OverridesHandle};
+use crate::lifecycle::handover::{CommandError, OperatorCommand, OverridesHandle};
 use corkbay::Ms;
 use corkbay_duty::Leave;
 use corkbay_ledger::Purpose;
@@ -67,13 +67,13 @@
     connection: &Arc<Connection>,
 ) -> Option<Response> {
     let (mut receive_buffer, mut chunk) =
-        (Intake::new(connection.account(), Purpose::Operators), vec![0; CHUNK]);
+        (ReceiveBuffer::new(connection.account(), Purpose::Operators), vec![0; CHUNK]);
     let end = monotonic_ms() + REQUEST_TIMEOUT_MS;
-    let mut fill = |receive_buffer: &mut Intake| match receive_buffer.fill(connection, &mut chunk, until(end))
-    {
-        Ok(1..) if monotonic_ms() < end => Some(()),
-        _ => None,
-    };
+    let mut fill =
+        |receive_buffer: &mut ReceiveBuffer| match receive_buffer.fill(connection, &mut chunk, until(end)) {
+            Ok(1..) if monotonic_ms() < end => Some(()),
+            _ => None,
+        };
     let mut head = loop {
         match RequestHead::decode(receive_buffer.bytes()) {
             Ok(Some(head)) => break head,
--- a/crates/node/src/wire/intake.rs
+++ b/crates/node/src/wire/receive_buffer.rs
@@ -4,7 +4,7 @@
 //! beyond that is reserved first. While there is no room nothing more is read, so that the data backs up at the
 //! peer (backpressure). When the wait for room takes too long, the read fails and the connection is closed.
 use super::socket::Socket;
-use crate::memory::room::grow;
+use crate::state::memory_wait::resize_or_wait;
 use corkbay_ledger::{Account, Purpose, Reservation};
 use std::io;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 pub const CHUNK: usize = 4096;
 
 /// Receive buffer of one connection.
-pub struct Intake {
+pub struct ReceiveBuffer {
     bytes: Vec<u8>,
     held: Reservation,
     purpose: Purpose,
@@ -21,10 +21,10 @@
     beside: usize,
 }
 
-impl Intake {
+impl ReceiveBuffer {
     /// Creates an empty buffer, charged to the account of the given purpose.
     pub fn new(account: &Account, purpose: Purpose) -> Self {
-        Intake { bytes: Vec::new(), held: account.empty_reservation(), purpose, beside: 0 }
+        ReceiveBuffer { bytes: Vec::new(), held: account.empty_reservation(), purpose, beside: 0 }
     }
 
     /// The unconsumed bytes.
@@ -38,7 +38,7 @@
     }
 
     /// Reads received bytes, or waits for some; returns their number. Fails with
-    /// [`NO_ROOM`](crate::memory::room::NO_ROOM) when there was no room for them for too long.
+    /// [`OUT_OF_MEMORY_KIND`](crate::state::memory_wait::OUT_OF_MEMORY_KIND) when there was no room for them for too long.
     pub fn fill(&mut self, socket: &Socket, chunk: &mut [u8], within: Duration) -> io::Result<usize> {
         let size = socket.read(chunk, within)?;
         self.make_room(size)?;
@@ -68,7 +68,7 @@
     }
 
     fn adjust_reservation(&mut self, capacity: usize) -> io::Result<()> {
-        grow(&mut self.held, self.purpose, (capacity + self.beside).saturating_sub(CHUNK))
+        resize_or_wait(&mut self.held, self.purpose, (capacity + self.beside).saturating_sub(CHUNK))
     }
 }
 
--- a/crates/node/src/wire/intake/tests.rs
+++ b/crates/node/src/wire/receive_buffer/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::core::monotonic_ms;
-use crate::life::spawn;
-use crate::memory::room::NO_ROOM;
+use crate::lifecycle::spawn;
+use crate::state::memory_wait::OUT_OF_MEMORY_KIND;
 
 /// Many large messages at once must not exceed the account: each waits for room, and one that waits in vain fails and
 /// holds no memory.
@@ -11,7 +11,7 @@
     let other = account.reserve(8 * CHUNK).expect("room");
     let (task_account, began) = (account.clone(), monotonic_ms());
     let task = spawn(move || {
-        let mut receive_buffer = Intake::new(&task_account, Purpose::Clients);
+        let mut receive_buffer = ReceiveBuffer::new(&task_account, Purpose::Clients);
         let first = receive_buffer.make_room(4 * CHUNK).map_err(|error| error.kind());
         let again = receive_buffer.make_room(8 * CHUNK).map_err(|error| error.kind());
         let waited = monotonic_ms() - began;
@@ -23,7 +23,7 @@
     let held = account.notify_when_free(0, || {});
     let (first, again, waited, huge, in_all) = task.join().expect("no panic");
     drop(held);
-    assert_eq!((first, again, huge), (Ok(()), Ok(()), Err(NO_ROOM)));
+    assert_eq!((first, again, huge), (Ok(()), Ok(()), Err(OUT_OF_MEMORY_KIND)));
     assert!(waited >= 50.0 && in_all < 900.0, "a reservation that can never fit must fail without a wait");
     assert_eq!(account.used(), 0);
 }
--- a/crates/node/src/wire/index.rs
+++ b/crates/node/src/wire/record_index.rs
@@ -2,9 +2,9 @@
 //!
 //! Nodes with equal hashes hold the same records; otherwise the hashes show which buckets differ.
 use crate::clock::UnixTime;
-use crate::memory::keys::{is_node_local, CONFIGURATION};
-use crate::memory::record::Record;
-use crate::memory::store::Store;
+use crate::state::keys::{is_node_local, CONFIGURATION};
+use crate::state::record::Record;
+use crate::state::store::Store;
 use corkbay_feed::{stable_hash, BucketHashes, BucketIndex, BucketNumber, FeedRecord, BUCKETS};
 use corkbay_ledger::{Ledger, Purpose, Reservation};
 use may::sync::mpsc;
--- a/crates/node/src/wire/index/tests.rs
+++ b/crates/node/src/wire/record_index/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
-use crate::memory::record::Text;
-use crate::memory::roomy;
-use crate::memory::store::Draft;
+use crate::state::record::Text;
+use crate::state::roomy;
+use crate::state::store::Draft;
 use proptest::prelude::*;
 
 fn record(key: &str, version: u64, expires: f64) -> Record {
--- a/crates/node/src/wire/replicate.rs
+++ b/crates/node/src/wire/replication.rs
@@ -14,9 +14,9 @@
 pub use mesh::Mesh;
 
 use super::accept::{Acceptor, ConnectionLimits};
-use super::news::OnNews;
-use crate::life::spawn;
-use crate::memory::store::Store;
+use super::record_changes::OnRecordChanges;
+use crate::lifecycle::spawn;
+use crate::state::store::Store;
 use client::ReplicationClient;
 use corkbay_ledger::Purpose;
 use may::sync::mpsc;
@@ -46,9 +46,9 @@
     acceptor: Arc<Acceptor>,
     peers: &[SocketAddr],
     interval: Duration,
-    on_news: OnNews,
+    on_record_changes: OnRecordChanges,
 ) -> Arc<Mesh> {
-    let (mesh, changes) = Mesh::new(store.clone(), on_news);
+    let (mesh, changes) = Mesh::new(store.clone(), on_record_changes);
     let indexing = mesh.clone();
     spawn(move || indexing.follow_changes(&changes));
     accept_peers(mesh.clone(), acceptor);
--- a/crates/node/src/wire/replicate/client.rs
+++ b/crates/node/src/wire/replication/client.rs
@@ -3,7 +3,7 @@
 use super::mesh::Mesh;
 use super::messages::{Hello, Reply, Request, PROTOCOL_VERSION};
 use super::STALL_TIMEOUT;
-use crate::memory::record::Record;
+use crate::state::record::Record;
 use crate::timers;
 use crate::wire::framing::FramingError;
 use crate::wire::socket::Socket;
@@ -108,7 +108,7 @@
     fn push(&mut self, records: Vec<Record>) -> Result<(), ReplicationError> {
         let mesh = self.mesh.clone();
         let connection = self.connection()?;
-        mesh.send(&mut connection.socket.patient(STALL_TIMEOUT), &Request::Push(records))
+        mesh.send(&mut connection.socket.with_read_timeout(STALL_TIMEOUT), &Request::Push(records))
     }
 
     fn compare_if_due(&mut self) -> Result<(), ReplicationError> {
@@ -135,8 +135,8 @@
     fn open(mesh: &Mesh, peer: &SocketAddr) -> Result<Self, ReplicationError> {
         let socket = Socket::connect(peer, CONNECT_TIMEOUT, STALL_TIMEOUT)?;
         let hello = Hello { version: PROTOCOL_VERSION, node: mesh.node().into() };
-        mesh.send(&mut socket.patient(STALL_TIMEOUT), &Request::Hello(hello))?;
-        let reply = match mesh.receive::<Reply>(&mut socket.patient(STALL_TIMEOUT)) {
+        mesh.send(&mut socket.with_read_timeout(STALL_TIMEOUT), &Request::Hello(hello))?;
+        let reply = match mesh.receive::<Reply>(&mut socket.with_read_timeout(STALL_TIMEOUT)) {
             Err(ReplicationError::Framing(error)) if error.is_closed() => {
                 return Err(ReplicationError::NotGreeted);
             }
@@ -189,7 +189,7 @@
     }
 
     fn request(&self, mesh: &Mesh, request: &Request) -> Result<Reply, ReplicationError> {
-        mesh.send(&mut self.socket.patient(STALL_TIMEOUT), request)?;
-        Ok(mesh.receive(&mut self.socket.patient(STALL_TIMEOUT))?.message)
+        mesh.send(&mut self.socket.with_read_timeout(STALL_TIMEOUT), request)?;
+        Ok(mesh.receive(&mut self.socket.with_read_timeout(STALL_TIMEOUT))?.message)
     }
 }
--- a/crates/node/src/wire/replicate/error.rs
+++ b/crates/node/src/wire/replication/error.rs
@@ -1,5 +1,5 @@
 //! Replication errors.
-use crate::memory::store::StoreError;
+use crate::state::store::StoreError;
 use crate::wire::framing::FramingError;
 use std::io;
 
--- a/crates/node/src/wire/replicate/mesh.rs
+++ b/crates/node/src/wire/replication/mesh.rs
@@ -3,11 +3,11 @@
 use super::error::ReplicationError;
 use super::messages::Held;
 use crate::core::{lock, monotonic_ms, UnixTime};
-use crate::memory::record::Record;
-use crate::memory::store::Store;
+use crate::state::record::Record;
+use crate::state::store::Store;
 use crate::wire::framing::{self, Received, MAX_MESSAGE};
-use crate::wire::index::{RecordIndex, Scope};
-use crate::wire::news::{News, OnNews};
+use crate::wire::record_changes::{ChangedKinds, OnRecordChanges};
+use crate::wire::record_index::{RecordIndex, Scope};
 use corkbay_feed::{BucketHashes, BucketNumber};
 use corkbay_ledger::{Account, Purpose};
 use may::sync::{mpsc, Mutex};
@@ -26,19 +26,19 @@
     store: Arc<Store>,
     index: Mutex<RecordIndex>,
     agreements: Mutex<Agreements>,
-    on_news: OnNews,
+    on_record_changes: OnRecordChanges,
     sent_bytes: AtomicU64,
 }
 
 impl Mesh {
     /// Creates the shared state for a store, and the receiver of changes for [`Mesh::follow_changes`].
-    pub fn new(store: Arc<Store>, on_news: OnNews) -> (Arc<Self>, mpsc::Receiver<Record>) {
+    pub fn new(store: Arc<Store>, on_record_changes: OnRecordChanges) -> (Arc<Self>, mpsc::Receiver<Record>) {
         let (index, changes) = RecordIndex::of_store(Scope::Shared, &store);
         let mesh = Mesh {
             store,
             index: Mutex::new(index),
             agreements: Mutex::default(),
-            on_news,
+            on_record_changes,
             sent_bytes: AtomicU64::new(0),
         };
         (Arc::new(mesh), changes)
@@ -128,9 +128,9 @@
 
     /// Stores records that a peer sent, and reports changes.
     pub fn store_records(&self, records: Vec<Record>) -> Result<(), ReplicationError> {
-        let news = News::of(&records);
-        if self.store.merge(records)? > 0 && !news.is_empty() {
-            (self.on_news)(news);
+        let changed = ChangedKinds::of(&records);
+        if self.store.merge(records)? > 0 && !changed.is_empty() {
+            (self.on_record_changes)(changed);
         }
         Ok(())
     }
--- a/crates/node/src/wire/replicate/messages.rs
+++ b/crates/node/src/wire/replication/messages.rs
@@ -1,5 +1,5 @@
 //! The messages of the replication protocol, which peers exchange over a long-lived connection.
-use crate::memory::record::Record;
+use crate::state::record::Record;
 use corkbay_feed::{BucketHashes, BucketNumber};
 use serde::de::IgnoredAny;
 use serde::{Deserialize, Serialize};
--- a/crates/node/src/wire/replicate/server.rs
+++ b/crates/node/src/wire/replication/server.rs
@@ -14,24 +14,24 @@
 pub fn serve(mesh: &Mesh, connection: &Connection) -> Result<(), ReplicationError> {
     let peer = greet(mesh, connection)?;
     loop {
-        let request = match mesh.receive::<Request>(&mut connection.patient(SILENCE_TIMEOUT)) {
+        let request = match mesh.receive::<Request>(&mut connection.with_read_timeout(SILENCE_TIMEOUT)) {
             Err(ReplicationError::Framing(error)) if error.is_closed() => return Ok(()),
             request => request?,
         };
         let Some(reply) = handle(mesh, &peer, request.message)? else { continue };
-        mesh.send(&mut connection.patient(STALL_TIMEOUT), &reply)?;
+        mesh.send(&mut connection.with_read_timeout(STALL_TIMEOUT), &reply)?;
     }
 }
 
 /// Exchanges greetings with a peer; returns its name.
 fn greet(mesh: &Mesh, connection: &Connection) -> Result<Arc<str>, ReplicationError> {
-    let opening = mesh.receive::<Opening>(&mut connection.patient(STALL_TIMEOUT))?;
+    let opening = mesh.receive::<Opening>(&mut connection.with_read_timeout(STALL_TIMEOUT))?;
     let hello = match opening.message {
         Opening::Hello(hello) => hello,
         Opening::Digest(_) | Opening::Push(_) => return Err(ReplicationError::EarlierVersion),
     };
     let own_hello = Hello { version: PROTOCOL_VERSION, node: mesh.node().into() };
-    mesh.send(&mut connection.patient(STALL_TIMEOUT), &Reply::Hello(own_hello))?;
+    mesh.send(&mut connection.with_read_timeout(STALL_TIMEOUT), &Reply::Hello(own_hello))?;
     if hello.version != PROTOCOL_VERSION {
         return Err(ReplicationError::UnknownVersion(hello.version));
     }
--- a/crates/node/src/wire/socket.rs
+++ b/crates/node/src/wire/socket.rs
@@ -208,8 +208,8 @@
     }
 
     /// The socket as [`Read`] and [`Write`], whose reads wait for `within` at most.
-    pub fn patient(&self, within: Duration) -> Patient<'_> {
-        Patient { socket: self, within }
+    pub fn with_read_timeout(&self, within: Duration) -> TimedSocket<'_> {
+        TimedSocket { socket: self, within }
     }
 
     /// Shuts the connection down in one direction or both; a task that waits on it is woken.
@@ -230,18 +230,18 @@
 }
 
 /// A socket as [`Read`] and [`Write`], with a timeout for each read.
-pub struct Patient<'a> {
+pub struct TimedSocket<'a> {
     socket: &'a Socket,
     within: Duration,
 }
 
-impl Read for Patient<'_> {
+impl Read for TimedSocket<'_> {
     fn read(&mut self, buffer: &mut [u8]) -> io::Result<usize> {
         self.socket.read(buffer, self.within)
     }
 }
 
-impl Write for Patient<'_> {
+impl Write for TimedSocket<'_> {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.socket.write(bytes).map(|()| bytes.len())
     }
--- a/crates/node/src/wire/socket/tests.rs
+++ b/crates/node/src/wire/socket/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::life::spawn;
+use crate::lifecycle::spawn;
 use std::net::TcpListener;
 use std::sync::Arc;
 
--- a/crates/node/src/wire/front.rs
+++ b/crates/node/src/wire/thrift_front.rs
@@ -1,11 +1,11 @@
 //! The Thrift front: reads requests from client connections, hands them to the invoker and writes the answers.
 use super::accept::Connection;
-use super::intake::{Intake, CHUNK};
-use super::passage::{Passage, ReceivedConnection};
+use super::connection_handover::{HandoverSender, ReceivedConnection};
+use super::receive_buffer::{ReceiveBuffer, CHUNK};
 use super::thrift::{self, Fields, Malformed, Message, Reply};
 use crate::core::{lock, monotonic_ms, until, Answer, Call, Failure, Invoker, NotTaken};
-use crate::life::spawn;
-use crate::memory::clients::ClientState;
+use crate::lifecycle::spawn;
+use crate::state::clients::ClientState;
 use crate::timers;
 use corkbay::{position, Effect, ModelId, Ms, Request, RequestId};
 use corkbay_ledger::Purpose;
@@ -74,7 +74,7 @@
 }
 
 /// Serves a client connection until it ends or, while this process drains, is handed over to the successor.
-pub fn serve(invoker: &Arc<Invoker>, handover: &Passage, connection: Arc<Connection>) {
+pub fn serve(invoker: &Arc<Invoker>, handover: &HandoverSender, connection: Arc<Connection>) {
     serve_until_end(invoker, handover, &connection, OpenRequests::default());
 }
 
@@ -82,7 +82,7 @@
 /// Answers from that process are to be passed to the returned value.
 pub fn resume(
     invoker: &Arc<Invoker>,
-    handover: &Arc<Passage>,
+    handover: &Arc<HandoverSender>,
     connection: Arc<Connection>,
     unanswered: &[i32],
 ) -> impl ReceivedConnection {
@@ -99,7 +99,7 @@
 
 fn serve_until_end(
     invoker: &Arc<Invoker>,
-    handover: &Passage,
+    handover: &HandoverSender,
     connection: &Arc<Connection>,
     open_requests: OpenRequests,
 ) {
@@ -176,11 +176,12 @@
 /// the stream can't be read any further.
 fn read_messages(
     invoker: &Arc<Invoker>,
-    handover: &Passage,
+    handover: &HandoverSender,
     connection: &Arc<Connection>,
     open_requests: &OpenRequests,
 ) -> Result<ReadEnd, Malformed> {
-    let (mut buffer, mut chunk) = (Intake::new(connection.account(), Purpose::Clients), vec![0; CHUNK]);
+    let (mut buffer, mut chunk) =
+        (ReceiveBuffer::new(connection.account(), Purpose::Clients), vec![0; CHUNK]);
     let (mut message_began, mut malformed_messages, mut last_request, mut full_chunks) = (0.0, 0, 0.0, 0);
     loop {
         let Some(message) = thrift::unframe(buffer.bytes())? else {
--- a/crates/node/src/wire/workers.rs
+++ b/crates/node/src/wire/workers.rs
@@ -3,12 +3,12 @@
 mod connection;
 
 use super::frames::{code, Frame};
-use super::intake::Intake;
+use super::receive_buffer::ReceiveBuffer;
 use crate::core::{lock, AttemptError, Call, CancelNotice, Cause, Ending, Exchange, Verdict, Workers};
-use crate::life::spawn;
-use crate::memory::counters::Dials;
-use crate::memory::link::Stage;
-use crate::memory::roster::Host;
+use crate::lifecycle::spawn;
+use crate::state::counters::Dials;
+use crate::state::exchanges::Stage;
+use crate::state::roster::Host;
 use crate::timers;
 use connection::{Connection, OutgoingFrame, Recipients, Waiter, WriterMessage};
 use corkbay::{ModelId, Ms, WorkerId};
@@ -122,11 +122,11 @@
         let pools = &mut *lock(&self.pools);
         let key = (host.id, host.address);
         let mut try_register = |connection: &Arc<Connection>| {
-            let mut link = lock(&connection.link);
-            let fits = if expects_answer { link.admits(frame.id) } else { !link.is_closed() };
+            let mut exchanges = lock(&connection.exchanges);
+            let fits = if expects_answer { exchanges.admits(frame.id) } else { !exchanges.is_closed() };
             if fits {
                 connection.mark_used();
-                waiter = waiter.take().and_then(|waiter| link.open(frame.id, waiter).err());
+                waiter = waiter.take().and_then(|waiter| exchanges.open(frame.id, waiter).err());
             }
             fits
         };
@@ -161,7 +161,7 @@
     /// exhausted, the connection that has been idle longest is evicted first; `None` where none can be.
     fn open_connection(&self, host: &Arc<Host>, pools: &mut Pools) -> Option<Arc<Connection>> {
         pools.retain(|_, pool| {
-            pool.retain(|connection| !lock(&connection.link).is_closed());
+            pool.retain(|connection| !lock(&connection.exchanges).is_closed());
             !pool.is_empty()
         });
         let held = self.account.reserve(CONNECTION_BYTES);
@@ -184,7 +184,7 @@
         };
         let (host, limits, task_connection, dials) =
             (host.clone(), self.limits, connection.clone(), self.dials.clone());
-        let receive_buffer = Intake::new(&self.account, Purpose::Workers);
+        let receive_buffer = ReceiveBuffer::new(&self.account, Purpose::Workers);
         spawn(move || {
             task_connection.run(&host, &limits, &dials, &queue, receive_buffer);
             drop((slot, held));
@@ -198,7 +198,7 @@
         if self.evicting.load(Ordering::Relaxed) >= MAX_EVICTING_CONNECTIONS {
             return false;
         }
-        let idle = pools.values().flatten().filter(|connection| lock(&connection.link).is_idle());
+        let idle = pools.values().flatten().filter(|connection| lock(&connection.exchanges).is_idle());
         let Some(longest) = idle.min_by_key(|connection| connection.last_used_ms()) else { return false };
         let is_evicted = longest.evict_if_idle();
         self.evicting.fetch_add(usize::from(is_evicted), Ordering::Relaxed);
@@ -221,7 +221,7 @@
         match timers::receive(&answer, within) {
             Ok(end) => end,
             Err(_) => {
-                let given_up = connection.and_then(|connection| lock(&connection.link).give_up(id));
+                let given_up = connection.and_then(|connection| lock(&connection.exchanges).give_up(id));
                 let error = given_up.map(|(stage, _)| unanswered_error(stage, Cause::Silent));
                 Err(error.unwrap_or(AttemptError::Unanswered(Cause::Silent)))
             }
@@ -265,7 +265,7 @@
 impl Exchange for FrameExchange {
     fn give_up(&mut self, cause: Cause) -> Option<AttemptError> {
         let connection = self.connection.take()?;
-        let (stage, _) = lock(&connection.link).give_up(self.id)?;
+        let (stage, _) = lock(&connection.exchanges).give_up(self.id)?;
         if stage != Stage::Queued && self.cancels {
             let frame = Frame::command(code::GIVE_UP, self.id, String::new(), Vec::new());
             let _ = connection.outbox.send(WriterMessage::Frame(OutgoingFrame {
--- a/crates/node/src/wire/workers/connection.rs
+++ b/crates/node/src/wire/workers/connection.rs
@@ -1,14 +1,14 @@
 //! One connection to a worker: one task connects and writes, another reads.
 use super::Limits;
 use crate::core::{lock, monotonic_ms, until, AttemptError, CancelNotice, Cause};
-use crate::life::spawn;
-use crate::memory::counters::Dials;
-use crate::memory::link::{Link, Stage};
-use crate::memory::room::NO_ROOM;
-use crate::memory::roster::Host;
+use crate::lifecycle::spawn;
+use crate::state::counters::Dials;
+use crate::state::exchanges::{ConnectionExchanges, Stage};
+use crate::state::memory_wait::OUT_OF_MEMORY_KIND;
+use crate::state::roster::Host;
 use crate::timers;
 use crate::wire::frames::{code, Frame, FROM_WORKER};
-use crate::wire::intake::{Intake, CHUNK};
+use crate::wire::receive_buffer::{ReceiveBuffer, CHUNK};
 use crate::wire::socket::Socket;
 use corkbay::Ms;
 use may::sync::mpsc::{channel, Receiver, Sender};
@@ -49,7 +49,7 @@
 impl Recipients {
     pub(super) fn excludes(self, host: &Host) -> bool {
         match self {
-            Recipients::Work => host.barred() || host.suspended(),
+            Recipients::Work => host.is_blocked() || host.suspended(),
             Recipients::Query => host.suspended(),
             Recipients::Cancel => false,
         }
@@ -79,7 +79,7 @@
 
 /// A connection to a worker with the exchanges that are open on it.
 pub(super) struct Connection {
-    pub link: Mutex<Link<Waiter>>,
+    pub exchanges: Mutex<ConnectionExchanges<Waiter>>,
     pub outbox: Sender<WriterMessage>,
     /// When the wait for the worker began: the later of its last frame and the first unanswered one, in milliseconds
     /// of the monotonic clock; 0 while no exchange is open.
@@ -95,7 +95,7 @@
     match stage {
         Stage::Queued => AttemptError::Unfinished(cause),
         // The reader can't tell whether the last byte was written; only the writer knows when it was not.
-        Stage::Writing | Stage::Whole => AttemptError::Unanswered(cause),
+        Stage::Writing | Stage::Written => AttemptError::Unanswered(cause),
     }
 }
 
@@ -113,10 +113,16 @@
     /// Creates a connection that is not established yet, and the queue of its writer.
     pub fn new(streams: usize) -> (Self, Receiver<WriterMessage>) {
         let (outbox, queue) = channel();
-        let link = Mutex::new(Link::new(streams));
+        let exchanges = Mutex::new(ConnectionExchanges::new(streams));
         let (silent_since_ms, last_used_ms) = (AtomicU64::new(0), AtomicU64::new(monotonic_ms() as u64));
         (
-            Connection { link, outbox, silent_since_ms, last_used_ms, is_evicted: AtomicBool::new(false) },
+            Connection {
+                exchanges,
+                outbox,
+                silent_since_ms,
+                last_used_ms,
+                is_evicted: AtomicBool::new(false),
+            },
             queue,
         )
     }
@@ -133,7 +139,7 @@
 
     /// Closes the connection after the queued frames, unless an exchange is open on it; returns whether it closes.
     pub fn evict_if_idle(&self) -> bool {
-        let closes = lock(&self.link).close_idle();
+        let closes = lock(&self.exchanges).close_idle();
         if closes {
             self.is_evicted.store(true, Ordering::Relaxed);
             let _ = self.outbox.send(WriterMessage::Stop);
@@ -153,7 +159,7 @@
         limits: &Limits,
         dials: &Dials,
         queue: &Receiver<WriterMessage>,
-        receive_buffer: Intake,
+        receive_buffer: ReceiveBuffer,
     ) {
         let mut guard = EndGuard(self.clone(), AttemptError::Unconnected);
         let connected = Socket::connect(&host.address, limits.connect, WRITE_STALL);
@@ -178,20 +184,20 @@
             let mut out = match timers::receive(queue, idle) {
                 Ok(WriterMessage::Frame(out)) => out,
                 Ok(WriterMessage::Stop) | Err(RecvTimeoutError::Disconnected) => return,
-                Err(RecvTimeoutError::Timeout) if lock(&self.link).close_idle() => return,
+                Err(RecvTimeoutError::Timeout) if lock(&self.exchanges).close_idle() => return,
                 Err(RecvTimeoutError::Timeout) => continue,
             };
             let id = out.frame.id;
             if out.recipients.excludes(host) || monotonic_ms() > out.send_by {
-                // The host was barred or suspended while the frame was queued, or `send_by` has passed: it must not
+                // The host was blocked or suspended while the frame was queued, or `send_by` has passed: it must not
                 // be sent.
-                let given_up = if out.expects_answer { lock(&self.link).give_up(id) } else { None };
+                let given_up = if out.expects_answer { lock(&self.exchanges).give_up(id) } else { None };
                 if let Some((_, waiter)) = given_up {
                     waiter(Err(AttemptError::Unfinished(Cause::Barred)));
                 }
                 continue;
             }
-            if out.expects_answer && !lock(&self.link).begin(id) {
+            if out.expects_answer && !lock(&self.exchanges).begin(id) {
                 continue;
             }
             if out.expects_answer {
@@ -203,20 +209,20 @@
                 out.frame.fields.push_str(&format!(",ms={}", until(expires).as_millis().max(1)));
             }
             if socket.write(&out.frame.encode()).is_err() {
-                let unfinished = if out.expects_answer { lock(&self.link).give_up(id) } else { None };
+                let unfinished = if out.expects_answer { lock(&self.exchanges).give_up(id) } else { None };
                 if let Some((_, waiter)) = unfinished {
                     waiter(Err(AttemptError::Unfinished(Cause::Broken)));
                 }
                 return;
             }
             if out.expects_answer {
-                lock(&self.link).whole(id);
+                lock(&self.exchanges).mark_written(id);
             }
             drop(out.notice);
         }
     }
 
-    fn read(&self, socket: &Socket, mut receive_buffer: Intake, max_answer_bytes: usize) {
+    fn read(&self, socket: &Socket, mut receive_buffer: ReceiveBuffer, max_answer_bytes: usize) {
         let mut chunk = vec![0; CHUNK];
         loop {
             match Frame::decode(receive_buffer.bytes(), FROM_WORKER) {
@@ -225,8 +231,8 @@
                 }
                 Ok(Some(frame)) if is_answer_code(frame.code) => {
                     let (waiter, idle) = {
-                        let mut link = lock(&self.link);
-                        (link.answered(frame.id), link.is_idle())
+                        let mut exchanges = lock(&self.exchanges);
+                        (exchanges.answered(frame.id), exchanges.is_idle())
                     };
                     self.silent_since_ms
                         .store(if idle { 0 } else { monotonic_ms() as u64 }, Ordering::Relaxed);
@@ -243,7 +249,7 @@
                         if receive_buffer.is_empty() { IDLE_READ_TIMEOUT } else { PARTIAL_MESSAGE_TIMEOUT };
                     match receive_buffer.fill(socket, &mut chunk, within) {
                         Err(error) if error.kind() == ErrorKind::TimedOut && receive_buffer.is_empty() => {}
-                        Err(error) if error.kind() == NO_ROOM => {
+                        Err(error) if error.kind() == OUT_OF_MEMORY_KIND => {
                             return tracing::warn!("worker connection closed: no room for its answers");
                         }
                         Ok(0) | Err(_) => return,
@@ -260,7 +266,7 @@
 
 impl Drop for EndGuard {
     fn drop(&mut self) {
-        let open = lock(&self.0.link).close();
+        let open = lock(&self.0.exchanges).close();
         for (stage, waiter) in open {
             let end = if self.1 == AttemptError::Unconnected {
                 self.1
--- a/crates/node/src/wire/workers/tests.rs
+++ b/crates/node/src/wire/workers/tests.rs
@@ -14,7 +14,7 @@
     let host = Host::new(WorkerId(1), "w", listener.local_addr().expect("bound"));
     let second = Duration::from_secs(1);
     let limits = limits(30 * second, 8);
-    let workers = FrameWorkers::new(limits, crate::memory::roomy().account(Purpose::Workers).clone());
+    let workers = FrameWorkers::new(limits, crate::state::roomy().account(Purpose::Workers).clone());
     let call = |id, size| {
         let request = corkbay::Request { id: corkbay::RequestId(id), ..Default::default() };
         Arc::new(Call { request, body: vec![7; size], ..Call::default() })
@@ -45,7 +45,7 @@
     for cause in [Cause::Broken, Cause::Silent, Cause::GivenUp] {
         assert!(unanswered_error(Stage::Queued, cause).outcome().proves_not_run());
         assert!(!unanswered_error(Stage::Writing, cause).outcome().proves_not_run());
-        assert!(!unanswered_error(Stage::Whole, cause).outcome().proves_not_run());
+        assert!(!unanswered_error(Stage::Written, cause).outcome().proves_not_run());
     }
 }
 
@@ -75,7 +75,7 @@
 fn idle_connections_do_not_keep_other_workers_from_being_reached() {
     let second = Duration::from_secs(1);
     let limits = limits(60 * second, 2);
-    let workers = FrameWorkers::new(limits, crate::memory::roomy().account(Purpose::Workers).clone());
+    let workers = FrameWorkers::new(limits, crate::state::roomy().account(Purpose::Workers).clone());
     let (ended, endings) = std::sync::mpsc::channel();
     let hosts: Vec<_> = (0..4).map(|number| answering_worker(number, ended.clone())).collect();
     let send_call = |id: u64, host: &Arc<Host>| {
--- a/crates/node/tests/frames.rs
+++ b/crates/node/tests/frames.rs
@@ -1,7 +1,7 @@
 //! Worker connections against a stand-in that a test plays frame by frame.
 use corkbay::{ModelId, Outcome, Request, RequestId, WorkerId};
 use corkbay_node::core::{monotonic_ms, AttemptError, Call, Cause, Exchange, Verdict, Workers};
-use corkbay_node::memory::roster::Host;
+use corkbay_node::state::roster::Host;
 use corkbay_node::wire::frames::{code, Frame, FROM_INVOKER, FROM_WORKER};
 use corkbay_node::wire::workers::{FrameWorkers, Limits};
 use std::io::{Read, Write};
@@ -197,7 +197,7 @@
 #[test]
 fn a_barred_worker_is_written_no_work() {
     let bench = Bench::new();
-    bench.host.bar(true);
+    bench.host.set_blocked(true);
     let (_exchange, end) = bench.send(1);
     let error = end.recv_timeout(PATIENCE).expect("told").expect_err("barred");
     assert_eq!(error, AttemptError::Unfinished(Cause::Barred));
--- a/crates/node/tests/invoke.rs
+++ b/crates/node/tests/invoke.rs
@@ -351,7 +351,7 @@
 #[test]
 fn the_deploy_file_of_the_repository_is_good() {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/invoke.toml");
-    corkbay_node::life::deploy::Deploy::load(std::path::Path::new(path)).expect("loads");
+    corkbay_node::lifecycle::deploy::Deploy::load(std::path::Path::new(path)).expect("loads");
 }
 
 /// Guards a reload off the platform: SIGHUP takes up the file's functions and workers, and a file that
--- a/crates/node/tests/link_model.rs
+++ b/crates/node/tests/link_model.rs
@@ -1,5 +1,5 @@
 //! A model of a worker connection's states, against which random steps are checked.
-use corkbay_node::memory::link::{Link, Stage};
+use corkbay_node::state::exchanges::{ConnectionExchanges, Stage};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
@@ -34,14 +34,14 @@
     /// later attempt under the id of one that ended, and what was never begun is told as never sent.
     #[test]
     fn random_steps_agree_with_the_model(steps in proptest::collection::vec(step(), 0..60)) {
-        let mut link = Link::new(STREAMS);
+        let mut exchanges = ConnectionExchanges::new(STREAMS);
         let mut open: BTreeMap<u64, (Stage, usize)> = BTreeMap::new();
         let (mut spent, mut closed, mut opened, mut ended) = (Vec::new(), false, 0, 0);
         for step in steps {
             match step {
                 Step::Open(id) => {
                     let fits = !closed && open.len() < STREAMS && !open.contains_key(&id) && !spent.contains(&id);
-                    prop_assert_eq!(link.open(id, opened), if fits { Ok(()) } else { Err(opened) });
+                    prop_assert_eq!(exchanges.open(id, opened), if fits { Ok(()) } else { Err(opened) });
                     if fits {
                         open.insert(id, (Stage::Queued, opened));
                         opened += 1;
@@ -49,34 +49,34 @@
                 }
                 Step::Begin(id) => {
                     let queued = open.get_mut(&id).filter(|entry| entry.0 == Stage::Queued);
-                    prop_assert_eq!(link.begin(id), queued.is_some());
+                    prop_assert_eq!(exchanges.begin(id), queued.is_some());
                     queued.into_iter().for_each(|entry| entry.0 = Stage::Writing);
                 }
                 Step::Whole(id) => {
-                    link.whole(id);
+                    exchanges.mark_written(id);
                     let writing = open.get_mut(&id).filter(|entry| entry.0 == Stage::Writing);
-                    writing.into_iter().for_each(|entry| entry.0 = Stage::Whole);
+                    writing.into_iter().for_each(|entry| entry.0 = Stage::Written);
                 }
                 Step::Answered(id) => {
                     let begun = open.get(&id).is_some_and(|entry| entry.0 != Stage::Queued);
                     let expected = if begun { open.remove(&id) } else { None };
                     spent.extend(expected.map(|_| id));
                     ended += usize::from(begun);
-                    prop_assert_eq!(link.answered(id), expected.map(|entry| entry.1));
+                    prop_assert_eq!(exchanges.answered(id), expected.map(|entry| entry.1));
                 }
                 Step::GiveUp(id) => {
                     let expected = open.remove(&id);
                     ended += usize::from(expected.is_some());
                     spent.extend(expected.filter(|entry| entry.0 != Stage::Queued).map(|_| id));
-                    prop_assert_eq!(link.give_up(id), expected);
+                    prop_assert_eq!(exchanges.give_up(id), expected);
                 }
                 Step::CloseIdle => {
                     closed |= open.is_empty();
-                    prop_assert_eq!(link.close_idle(), closed);
+                    prop_assert_eq!(exchanges.close_idle(), closed);
                 }
                 Step::Close => {
                     closed = true;
-                    let mut left = link.close();
+                    let mut left = exchanges.close();
                     left.sort_by_key(|entry| entry.1);
                     let mut expected: Vec<_> = std::mem::take(&mut open).into_values().collect();
                     expected.sort_by_key(|entry| entry.1);
@@ -84,7 +84,7 @@
                     prop_assert_eq!(left, expected);
                 }
             }
-            prop_assert_eq!(link.is_closed(), closed);
+            prop_assert_eq!(exchanges.is_closed(), closed);
             prop_assert_eq!(opened, ended + open.len());
         }
     }
--- a/crates/node/tests/timers.rs
+++ b/crates/node/tests/timers.rs
@@ -11,7 +11,7 @@
 const KEPT_BLOCKS: usize = 4096;
 const FREED: u8 = 0xdd;
 /// The file that may, and one whose thread waits on the standard library's queue.
-const WAITING_FILES: [&str; 2] = ["src/timers.rs", "src/life/handover/sync.rs"];
+const WAITING_FILES: [&str; 2] = ["src/timers.rs", "src/lifecycle/handover/sync.rs"];
 const TASKS: u64 = 50;
 const ROUNDS: u64 = 100;
 
@@ -57,11 +57,11 @@
 /// Guards against the coroutine library's use of timers that it has freed, which it does once they are of many lengths.
 #[test]
 fn timers_of_many_lengths_are_used_after_they_are_freed() {
-    corkbay_node::life::platform::set_up_coroutines();
+    corkbay_node::lifecycle::platform::set_up_coroutines();
     let (done, ended) = mpsc::channel();
     for task in 0..TASKS {
         let done = done.clone();
-        corkbay_node::life::spawn(move || {
+        corkbay_node::lifecycle::spawn(move || {
             for round in 0..ROUNDS {
                 timers::sleep(Duration::from_nanos(1_000_000 + task * 10_007 + round * 1_009));
                 assert!(!timers::wait_for_post(&Semphore::new(0), Duration::from_millis(1 + task)));
@@ -78,9 +78,9 @@
 /// Guards sockets' timers, which are not made for two threads: tasks whose time was up went on beside all others.
 #[test]
 fn a_task_whose_time_is_up_goes_on_with_all_others() {
-    corkbay_node::life::platform::set_up_coroutines();
+    corkbay_node::lifecycle::platform::set_up_coroutines();
     let (tell, told) = mpsc::channel();
-    corkbay_node::life::spawn(move || {
+    corkbay_node::lifecycle::spawn(move || {
         let (thread, short) = (|| std::thread::current().id(), Duration::from_millis(2));
         let before = thread();
         timers::sleep(short);
--- a/crates/rig/src/scale/decisions.rs
+++ b/crates/rig/src/scale/decisions.rs
@@ -10,7 +10,7 @@
     Action, Dispatcher, Event, Finished, ModelId, Ms, Outcome, Request, RequestId, RosterEntry, RosterUpdate,
     Settings, TableSizes, Warmth, WorkerId, WorkerState,
 };
-use corkbay_node::life::deploy::{read, Deploy};
+use corkbay_node::lifecycle::deploy::{read, Deploy};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Zipf};
--- a/crates/rig/src/scale/feed/hollow.rs
+++ b/crates/rig/src/scale/feed/hollow.rs
@@ -4,13 +4,13 @@
 use corkbay_feed::FollowerState;
 use corkbay_ledger::{Ledger, Purpose};
 use corkbay_node::core::{monotonic_ms, Invoker};
-use corkbay_node::life::deploy::Deploy;
-use corkbay_node::life::{accounts, logs, platform, spawn};
-use corkbay_node::memory::catalog::Catalog;
-use corkbay_node::memory::store::{KeptAfterRestart, Store};
+use corkbay_node::lifecycle::deploy::Deploy;
+use corkbay_node::lifecycle::{accounts, logs, platform, spawn};
+use corkbay_node::state::catalog::Catalog;
+use corkbay_node::state::store::{KeptAfterRestart, Store};
 use corkbay_node::wire::feed::{follow, FollowerHandle};
 use corkbay_node::wire::http_workers::{HttpWorkers, Limits, Style};
-use corkbay_node::wire::news::OnNews;
+use corkbay_node::wire::record_changes::OnRecordChanges;
 use std::fmt::Display;
 use std::io::{BufRead, Write};
 use std::path::Path;
@@ -119,7 +119,8 @@
         sweep_regularly(store.clone());
         let follow_settings = deploy.follow.as_ref().ok_or_else(|| failed("a follower without [follow]"))?;
         let options = follow_settings.options(&deploy.zone);
-        let follower = follow(store, options, on_news(catalog.clone(), invoker.clone())).map_err(failed)?;
+        let follower =
+            follow(store, options, on_record_changes(catalog.clone(), invoker.clone())).map_err(failed)?;
         Ok(HollowFollower { catalog, follower, _invoker: invoker })
     }
 
@@ -139,7 +140,7 @@
     }
 }
 
-fn on_news(catalog: Arc<Catalog>, invoker: Arc<Invoker>) -> OnNews {
+fn on_record_changes(catalog: Arc<Catalog>, invoker: Arc<Invoker>) -> OnRecordChanges {
     Arc::new(move |news| {
         if news.workers {
             catalog.announce(&invoker);
--- a/crates/rig/src/scale/worker_list.rs
+++ b/crates/rig/src/scale/worker_list.rs
@@ -7,10 +7,10 @@
 use corkbay_ledger::{Budget, Ledger, Purpose, Shares, MIB};
 use corkbay_node::core::UnixTime;
 use corkbay_node::core::{AttemptError, Call, Ending, Exchange, Invoker, Workers};
-use corkbay_node::memory::catalog::{Catalog, State, Worker};
-use corkbay_node::memory::roster::{Directory, Host, Listing};
-use corkbay_node::memory::store::Store;
-use corkbay_node::wire::channel::News;
+use corkbay_node::state::catalog::{Catalog, State, Worker};
+use corkbay_node::state::roster::{Host, WorkerDirectory, WorkerListing};
+use corkbay_node::state::store::Store;
+use corkbay_node::wire::command_channel::ChannelEvent;
 use corkbay_node::wire::sse::Stream;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -120,7 +120,7 @@
 fn measure_directory(workers: usize, options: &Options, add: &mut Add) {
     let account = corkbay_ledger::Account::root("scale", usize::MAX >> 8);
     let names = Names { zones: zone_names(options), ..Names::default() };
-    let mut directory = Directory::new(&names, &account);
+    let mut directory = WorkerDirectory::new(&names, &account);
     let listings = || (0..workers).map(|number| listing(number, options)).collect::<Vec<_>>();
     directory.apply(listings(), true, false);
     let (mut lists, mut changes) = (Vec::new(), Vec::new());
@@ -197,7 +197,7 @@
     }
     let streamed = thread_cpu();
     let event = events.first().ok_or_else(|| ScaleError::Failed("the event did not come out".into()))?;
-    let news: News = serde_json::from_str(&event.data).map_err(failed)?;
+    let news: ChannelEvent = serde_json::from_str(&event.data).map_err(failed)?;
     let parsed = thread_cpu();
     news.remember(invoker);
     let told = thread_cpu();
@@ -219,8 +219,8 @@
     })
 }
 
-fn listing(number: usize, options: &Options) -> Listing {
-    Listing {
+fn listing(number: usize, options: &Options) -> WorkerListing {
+    WorkerListing {
         name: worker_name(number),
         address: address(number),
         zone: zone_name(number, options),
@@ -229,7 +229,7 @@
         state: WorkerState::Ready,
         weight: 1.0,
         since: UnixTime::NONE,
-        heard_without: f64::NEG_INFINITY,
+        last_contact_without_report: f64::NEG_INFINITY,
     }
 }
 
