--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -55,7 +55,7 @@
 }
 
 /// The duration from now to a point on the monotonic clock; zero once it has passed.
-pub fn until(at: Ms) -> Duration {
+pub fn time_until(at: Ms) -> Duration {
     Duration::from_secs_f64((at - monotonic_ms()).clamp(0.0, 1e9) / 1000.0)
 }
 
--- a/crates/node/src/core/counting.rs
+++ b/crates/node/src/core/counting.rs
@@ -6,10 +6,10 @@
     /// Counts the final answer of a request.
     pub fn answered(&self, answer: &Answer) {
         match answer {
-            Answer::Served { .. } => self.served.add(),
-            Answer::Refused { .. } => self.refused.add(),
-            Answer::Failed(_) => self.failed.add(),
-            Answer::Withdrawn => self.withdrawn.add(),
+            Answer::Served { .. } => self.served.increment(),
+            Answer::Refused { .. } => self.refused.increment(),
+            Answer::Failed(_) => self.failed.increment(),
+            Answer::Withdrawn => self.withdrawn.increment(),
         }
     }
 }
--- a/crates/node/src/core/invoker.rs
+++ b/crates/node/src/core/invoker.rs
@@ -12,7 +12,7 @@
 mod request;
 
 use super::{
-    monotonic_ms, until, Call, LoadChange, LogLineLimit, StallDetector, Workers, HEARTBEAT_INTERVAL,
+    monotonic_ms, time_until, Call, LoadChange, LogLineLimit, StallDetector, Workers, HEARTBEAT_INTERVAL,
 };
 use crate::state::counters::Counters;
 use crate::state::roster::{SuspensionError, WorkerDirectory, WorkerListing};
@@ -24,7 +24,7 @@
 use may::sync::{mpsc, Condvar, Mutex};
 pub use messages::Inbox;
 use messages::TaskMessage;
-pub use request::Taken;
+pub use request::AcceptedRequest;
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, OnceLock};
@@ -39,11 +39,11 @@
 
 /// Why a request was not accepted; nothing of it ran.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum NotTaken {
+pub enum AdmissionError {
     /// A request with this id is still unanswered.
-    Open,
+    DuplicateId,
     /// There is too little memory or time for it; retry after this many milliseconds, 0 for no advice.
-    Crowded(Ms),
+    Overloaded(Ms),
     /// The invoker is draining and accepts no requests.
     Draining,
 }
@@ -116,7 +116,7 @@
         let learnt = ledger.account(Purpose::Learnt).empty_reservation();
         let core = DispatcherState { dispatcher, inboxes: HashMap::new(), learnt };
         let directory = WorkerDirectory::new(&names, ledger.account(Purpose::Roster));
-        let counters = Counters::new(workers.dials());
+        let counters = Counters::new(workers.connection_attempts());
         Arc::new(Invoker {
             core: Mutex::new(core),
             directory: Mutex::new(directory),
@@ -140,17 +140,17 @@
     }
 
     /// Accepts a request, which must get a final answer from then on.
-    pub fn take(self: &Arc<Self>, call: Call) -> Result<Taken, NotTaken> {
-        self.admit(call).inspect_err(|_| self.counters.turned_away.add())
+    pub fn accept(self: &Arc<Self>, call: Call) -> Result<AcceptedRequest, AdmissionError> {
+        self.admit(call).inspect_err(|_| self.counters.turned_away.increment())
     }
 
-    fn admit(self: &Arc<Self>, call: Call) -> Result<Taken, NotTaken> {
+    fn admit(self: &Arc<Self>, call: Call) -> Result<AcceptedRequest, AdmissionError> {
         if self.serving_state().refuses(monotonic_ms()) {
-            return Err(NotTaken::Draining);
+            return Err(AdmissionError::Draining);
         }
         if self.stall_detector.is_overloaded(monotonic_ms()) {
-            self.counters.turned_away_behind.add();
-            return Err(NotTaken::Crowded(self.settings.max_retry_after));
+            self.counters.turned_away_behind.increment();
+            return Err(AdmissionError::Overloaded(self.settings.max_retry_after));
         }
         let reservation =
             self.ledger.reserve(Purpose::Calls, call.request.tenant, CALL_OVERHEAD_BYTES + call.size());
@@ -159,16 +159,16 @@
         {
             let mut core = lock(&self.core);
             if core.inboxes.contains_key(&call.request.id) {
-                return Err(NotTaken::Open);
+                return Err(AdmissionError::DuplicateId);
             }
             core.reserve_model(call.request.model).map_err(|full| no_memory(Purpose::Learnt, &full))?;
             core.inboxes.insert(call.request.id, sender.clone());
         }
         *lock(&self.unanswered) += 1;
-        self.counters.taken.add();
+        self.counters.taken.increment();
         self.counters.body_bytes.observe(call.body.len() as f64);
         let (call, inbox) = (Arc::new(call), Inbox { messages, sender });
-        Ok(Taken {
+        Ok(AcceptedRequest {
             invoker: self.clone(),
             call,
             inbox,
@@ -190,7 +190,7 @@
         crate::lifecycle::spawn(move || loop {
             match invoker.stall_detector.record_heartbeat(monotonic_ms()) {
                 Some(LoadChange::Overloaded(late_ms)) => {
-                    invoker.counters.fell_behind.add();
+                    invoker.counters.fell_behind.increment();
                     tracing::warn!(late_ms = late_ms.round(), "behind: new requests are turned away");
                 }
                 Some(LoadChange::Recovered) => tracing::info!("caught up"),
@@ -202,7 +202,7 @@
 
     /// The earliest time at which data read now can have arrived, in milliseconds on the monotonic clock; a
     /// client's deadline is counted from it.
-    pub fn came_at(&self) -> Ms {
+    pub fn earliest_arrival(&self) -> Ms {
         self.stall_detector.earliest_arrival(monotonic_ms())
     }
 
@@ -231,7 +231,7 @@
 
     /// Applies an update on the workers. Workers that may no longer be used are blocked before the dispatcher
     /// is notified.
-    pub fn news(self: &Arc<Self>, listings: Vec<WorkerListing>, whole: bool, remembered: bool) {
+    pub fn update_roster(self: &Arc<Self>, listings: Vec<WorkerListing>, whole: bool, remembered: bool) {
         let _ordered = lock(&self.roster_updates);
         let known = lock(&self.directory).known_after(&listings, whole);
         if let Some(make_room) = self.room_for_workers.get() {
@@ -243,26 +243,26 @@
 
     /// Replaces the operators' overrides on hosts: from then on nothing starts on a suspended host, whatever
     /// the directory says.
-    pub fn adopt(self: &Arc<Self>, host_overrides: HostOverrides) {
+    pub fn set_host_overrides(self: &Arc<Self>, host_overrides: HostOverrides) {
         let _ordered = lock(&self.roster_updates);
-        let roster = lock(&self.directory).adopt(host_overrides);
+        let roster = lock(&self.directory).set_host_overrides(host_overrides);
         if !matches!(&roster, corkbay::RosterUpdate::Changes(entries) if entries.is_empty()) {
             self.feed(Event::Roster(roster));
         }
     }
 
     /// Whether a host can be suspended.
-    pub fn may_suspend(&self, name: &str) -> Result<(), SuspensionError> {
-        lock(&self.directory).may_suspend(name)
+    pub fn check_suspend(&self, name: &str) -> Result<(), SuspensionError> {
+        lock(&self.directory).check_suspend(name)
     }
 
     /// Whether a host can be resumed.
-    pub fn may_resume(&self, name: &str) -> Result<(), SuspensionError> {
-        lock(&self.directory).may_resume(name)
+    pub fn check_resume(&self, name: &str) -> Result<(), SuspensionError> {
+        lock(&self.directory).check_resume(name)
     }
 
     /// Records that this process is ready for clients.
-    pub fn serving(&self) {
+    pub fn set_serving(&self) {
         self.serving.store(true, Ordering::Release);
     }
 
@@ -282,13 +282,13 @@
     }
 
     /// Starts to leave the clients, with these times.
-    pub fn leave(&self, why: Leave, schedule: LeaveSchedule) {
+    pub fn start_leaving(&self, why: Leave, schedule: LeaveSchedule) {
         lock(&self.serving_state).leave(why, monotonic_ms(), schedule);
         self.serving_state_changed.notify_all();
     }
 
     /// Returns to serving clients; false if the process is about to end.
-    pub fn come_back(&self) -> bool {
+    pub fn return_to_service(&self) -> bool {
         lock(&self.serving_state).come_back()
     }
 
@@ -314,29 +314,29 @@
     }
 
     /// Waits until all requests are answered; false if that takes longer than `within`.
-    pub fn settle(&self, within: Duration) -> bool {
+    pub fn wait_until_answered(&self, within: Duration) -> bool {
         let end = monotonic_ms() + within.as_secs_f64() * 1000.0;
         let mut unanswered = lock(&self.unanswered);
         while *unanswered > 0 {
             if monotonic_ms() >= end {
                 return false;
             }
-            unanswered = timers::wait(&self.all_answered, unanswered, until(end));
+            unanswered = timers::wait(&self.all_answered, unanswered, time_until(end));
         }
         true
     }
 
     /// Number of requests that are not yet answered.
-    pub fn owed(&self) -> usize {
+    pub fn unanswered(&self) -> usize {
         *lock(&self.unanswered)
     }
 }
 
-fn no_memory(purpose: Purpose, full: &CapExceeded) -> NotTaken {
+fn no_memory(purpose: Purpose, full: &CapExceeded) -> AdmissionError {
     let (asked, cap) = (full.asked, full.cap);
     match decide_at_cap(&FullAccount { purpose, asked, cap, idle: 0, frees_in: None, waited: 0.0 }) {
-        Decision::Refuse { retry_after: Some(span) } => NotTaken::Crowded(span),
-        _ => NotTaken::Crowded(0.0),
+        Decision::Refuse { retry_after: Some(span) } => AdmissionError::Overloaded(span),
+        _ => AdmissionError::Overloaded(0.0),
     }
 }
 
--- a/crates/node/src/core/invoker/actions.rs
+++ b/crates/node/src/core/invoker/actions.rs
@@ -88,10 +88,10 @@
             let (end, copies) = match invoker.host(worker) {
                 Some(host) => {
                     let counters = &invoker.counters;
-                    if copies > 0 { &counters.orders } else { &counters.questions }.add();
+                    if copies > 0 { &counters.orders } else { &counters.questions }.increment();
                     invoker.workers.load(&host, model, copies, by, invoker.timeouts.order)
                 }
-                None => (Err(AttemptError::Unconnected), 0),
+                None => (Err(AttemptError::ConnectFailed), 0),
             };
             let outcome = end.map_or_else(AttemptError::outcome, |()| Outcome::Ok);
             let took = monotonic_ms() - started;
@@ -102,7 +102,7 @@
 
     fn order_eviction(&self, worker: WorkerId, model: ModelId) {
         if let Some(host) = self.host(worker) {
-            self.counters.evictions.add();
+            self.counters.evictions.increment();
             self.workers.evict(&host, model);
         }
     }
@@ -116,7 +116,7 @@
             let started = monotonic_ms();
             let end = match invoker.host(worker) {
                 Some(host) => invoker.workers.probe(&host, invoker.timeouts.probe),
-                None => Err(AttemptError::Unconnected),
+                None => Err(AttemptError::ConnectFailed),
             };
             let outcome = end.map_or_else(AttemptError::outcome, |()| Outcome::Ok);
             invoker.feed(Event::Probed { worker, outcome, took: monotonic_ms() - started, report: None });
--- a/crates/node/src/core/invoker/attempts.rs
+++ b/crates/node/src/core/invoker/attempts.rs
@@ -1,8 +1,8 @@
 //! The attempts in flight of a request.
 use super::messages::TaskMessage;
-use super::request::Taken;
+use super::request::AcceptedRequest;
 use crate::core::unserved::hex;
-use crate::core::{monotonic_ms, AttemptError, Cause, Exchange};
+use crate::core::{monotonic_ms, AbortReason, AttemptError, Exchange};
 use corkbay::{Effect, Ms, Outcome, WorkerId};
 
 /// How long after its deadline a request waits for the dispatcher's decision before it fails here.
@@ -27,7 +27,7 @@
 /// The attempts in flight of a request. However the task of the request ends, each attempt is cancelled and
 /// reported to the dispatcher.
 pub(super) struct InFlightAttempts<'a> {
-    request: &'a Taken,
+    request: &'a AcceptedRequest,
     in_flight: Vec<InFlightAttempt>,
     /// Number of attempts that the dispatcher asked for and this task has read.
     requested: u32,
@@ -38,7 +38,7 @@
 }
 
 impl<'a> InFlightAttempts<'a> {
-    pub(super) fn new(request: &'a Taken) -> Self {
+    pub(super) fn new(request: &'a AcceptedRequest) -> Self {
         InFlightAttempts {
             request,
             in_flight: Vec::new(),
@@ -75,7 +75,7 @@
     /// Cancels an attempt. If its end is already on its way, that arrives as a message.
     pub(super) fn cancel(&mut self, attempt: u32) {
         let Some(index) = self.position(attempt) else { return };
-        if let Some(error) = self.in_flight[index].exchange.give_up(Cause::GivenUp) {
+        if let Some(error) = self.in_flight[index].exchange.cancel(AbortReason::Cancelled) {
             let entry = self.in_flight.swap_remove(index);
             self.end_failed(entry, error);
         }
@@ -107,7 +107,7 @@
         self.may_have_run.push((attempt, started));
         let sender = self.request.inbox.sender.clone();
         let end = Box::new(move |end| _ = sender.send(TaskMessage::Ended { attempt, end }));
-        invoker.counters.sent.add();
+        invoker.counters.sent.increment();
         let exchange = invoker.workers.send(&host, call, until, by, end);
         self.in_flight.push(InFlightAttempt { attempt, worker, started, until, exchange, ended_with: None });
     }
@@ -116,7 +116,7 @@
     fn record_retry(&self, attempt: u32, host: &str) {
         let invoker = &self.request.invoker;
         let Some(last) = self.last_failure else { return };
-        invoker.counters.retried.add();
+        invoker.counters.retried.increment();
         // Retries of attempts that never ran are common; only those that may have run are logged.
         if !last.proves_not_run() && invoker.lines.take() {
             let request = hex(self.request.call.request.id);
@@ -155,7 +155,7 @@
                 return self.report_failure(&entry, error, false)
             }
             Some(_) => entry.until = now + CANCEL_DELIVERY_DELAY_MS,
-            None => match entry.exchange.give_up(Cause::Silent) {
+            None => match entry.exchange.cancel(AbortReason::TimedOut) {
                 Some(error) => return self.end_failed(entry, error),
                 // Its end is already on its way and arrives as the next message.
                 None => entry.until = now + DECISION_GRACE_MS,
@@ -175,8 +175,8 @@
             }
         }
         for mut entry in std::mem::take(&mut self.in_flight) {
-            let error = entry.ended_with.or_else(|| entry.exchange.give_up(Cause::GivenUp));
-            let error = error.unwrap_or(AttemptError::Unanswered(Cause::GivenUp));
+            let error = entry.ended_with.or_else(|| entry.exchange.cancel(AbortReason::Cancelled));
+            let error = error.unwrap_or(AttemptError::Unanswered(AbortReason::Cancelled));
             self.report_failure(&entry, error, true);
         }
     }
--- a/crates/node/src/core/invoker/messages.rs
+++ b/crates/node/src/core/invoker/messages.rs
@@ -1,5 +1,5 @@
 //! Messages to the task of a request, and the inbox that receives them.
-use crate::core::{until, AttemptError};
+use crate::core::{time_until, AttemptError};
 use crate::timers;
 use corkbay::{EndReason, Ms, WorkerId};
 use may::sync::mpsc;
@@ -39,6 +39,6 @@
 impl Inbox {
     /// The next message; `None` if none arrives before `at`.
     pub(super) fn next(&self, at: Ms) -> Option<TaskMessage> {
-        self.messages.try_recv().ok().or_else(|| timers::receive(&self.messages, until(at)).ok())
+        self.messages.try_recv().ok().or_else(|| timers::receive(&self.messages, time_until(at)).ok())
     }
 }
--- a/crates/node/src/core/invoker/request.rs
+++ b/crates/node/src/core/invoker/request.rs
@@ -18,7 +18,7 @@
 const MAX_ANSWER_WAIT_MS: Ms = 500.0;
 
 /// An accepted request; it stays registered with the invoker until this is dropped, after its final answer.
-pub struct Taken {
+pub struct AcceptedRequest {
     pub(super) invoker: Arc<Invoker>,
     pub(super) call: Arc<Call>,
     pub(super) inbox: Inbox,
@@ -26,7 +26,7 @@
     pub(super) accepted_at: Ms,
 }
 
-impl Taken {
+impl AcceptedRequest {
     /// Processes the request, from its first event to its final answer.
     pub fn serve(&self) -> Answer {
         let mut attempts = InFlightAttempts::new(self);
@@ -176,7 +176,7 @@
     }
 }
 
-impl Drop for Taken {
+impl Drop for AcceptedRequest {
     /// Removes the request from the invoker, also when its task panics.
     fn drop(&mut self) {
         self.invoker.counters.call_seconds.observe((monotonic_ms() - self.accepted_at) / 1000.0);
--- a/crates/node/src/core/invoker/tests.rs
+++ b/crates/node/src/core/invoker/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::core::{Answer, AttemptError, CancelNotice, Cause, Ending, Exchange, UnixTime};
+use crate::core::{AbortReason, Answer, AttemptError, CancelNotice, Exchange, OnAttemptEnd, UnixTime};
 use crate::state::roster::Host;
 use corkbay::{ModelId, Request, WorkerState};
 use std::sync::atomic::AtomicUsize;
@@ -7,7 +7,7 @@
 struct EndedExchange;
 
 impl Exchange for EndedExchange {
-    fn give_up(&mut self, _: Cause) -> Option<AttemptError> {
+    fn cancel(&mut self, _: AbortReason) -> Option<AttemptError> {
         None
     }
 
@@ -23,11 +23,11 @@
     act: F,
 }
 
-fn scripted<F: Fn(usize, &Call, Ending) -> Box<dyn Exchange>>(act: F) -> Scripted<F> {
+fn scripted<F: Fn(usize, &Call, OnAttemptEnd) -> Box<dyn Exchange>>(act: F) -> Scripted<F> {
     Scripted { sends: AtomicUsize::new(0), act }
 }
 
-fn serve(call: &Call, end: Ending) -> Box<dyn Exchange> {
+fn serve(call: &Call, end: OnAttemptEnd) -> Box<dyn Exchange> {
     end(Ok(call.body.clone()));
     Box::new(EndedExchange)
 }
@@ -39,7 +39,7 @@
 }
 
 impl Exchange for Silent {
-    fn give_up(&mut self, cause: Cause) -> Option<AttemptError> {
+    fn cancel(&mut self, cause: AbortReason) -> Option<AttemptError> {
         *self.held.lock().expect("whole") = Some(self.notice.clone());
         let held = self.held.clone();
         crate::lifecycle::spawn(move || {
@@ -56,14 +56,14 @@
 
 impl<F> Workers for Scripted<F>
 where
-    F: Fn(usize, &Call, Ending) -> Box<dyn Exchange> + Send + Sync + 'static,
+    F: Fn(usize, &Call, OnAttemptEnd) -> Box<dyn Exchange> + Send + Sync + 'static,
 {
-    fn send(&self, _: &Arc<Host>, call: &Arc<Call>, _: Ms, _: Ms, end: Ending) -> Box<dyn Exchange> {
+    fn send(&self, _: &Arc<Host>, call: &Arc<Call>, _: Ms, _: Ms, end: OnAttemptEnd) -> Box<dyn Exchange> {
         (self.act)(self.sends.fetch_add(1, Ordering::Relaxed), call, end)
     }
 
     fn load(&self, _: &Arc<Host>, _: ModelId, _: u32, _: Ms, _: Duration) -> (Result<(), AttemptError>, u32) {
-        (Err(AttemptError::Unconnected), 0)
+        (Err(AttemptError::ConnectFailed), 0)
     }
 
     fn evict(&self, _: &Arc<Host>, _: ModelId) {}
@@ -81,7 +81,7 @@
         "ceilings": {"attemptsCap": 5, "cancel": true, "secondCopies": second_copies},
         "specifics": {"notLoaded": "load", "keepMs": 1000.0}, "safety": {},
     });
-    let ledger = crate::state::roomy();
+    let ledger = crate::state::test_ledger();
     let invoker = Invoker::new(&setup, 1, Arc::new(workers), ledger.clone());
     let address = "127.0.0.1:1".parse().expect("address");
     let (name, zone, kind) = ("w".to_string(), "a".to_string(), String::new());
@@ -98,7 +98,7 @@
         since,
         last_contact_without_report,
     };
-    invoker.news(vec![listing], true, true);
+    invoker.update_roster(vec![listing], true, true);
     (invoker, ledger)
 }
 
@@ -113,21 +113,21 @@
     let (invoker, ledger) = with_one_worker(workers, true);
     let request = |id| Request { id: RequestId(id), expires: monotonic_ms() + 4000.0, ..Request::default() };
     let call = |id| Call { request: request(id), body: vec![7], ..Call::default() };
-    let taken = invoker.take(call(1)).expect("taken");
-    assert_eq!(invoker.take(call(1)).err(), Some(NotTaken::Open));
+    let taken = invoker.accept(call(1)).expect("taken");
+    assert_eq!(invoker.accept(call(1)).err(), Some(AdmissionError::DuplicateId));
     let end = std::panic::catch_unwind(std::panic::AssertUnwindSafe(move || taken.serve()));
     assert!(end.is_err());
-    assert_eq!(invoker.owed(), 0);
+    assert_eq!(invoker.unanswered(), 0);
     assert_eq!(ledger.account(Purpose::Calls).used(), 0);
-    let taken = invoker.take(call(2)).expect("taken");
+    let taken = invoker.accept(call(2)).expect("taken");
     assert_eq!(taken.serve(), Answer::Served { body: vec![7] });
     drop(taken);
-    invoker.leave(
+    invoker.start_leaving(
         Leave::Ending,
         LeaveSchedule { close_connections_at: 0.0, refuse_requests_at: 0.0, all_closed_by: None },
     );
-    assert!(invoker.settle(Duration::ZERO));
-    assert_eq!(invoker.take(call(3)).err(), Some(NotTaken::Draining));
+    assert!(invoker.wait_until_answered(Duration::ZERO));
+    assert_eq!(invoker.accept(call(3)).err(), Some(AdmissionError::Draining));
 }
 
 /// Guards the count of attempts in flight at a worker: if the client withdraws just before an attempt is
@@ -140,11 +140,11 @@
         Call { request, body: vec![7], ..Call::default() }
     };
     for id in 1..=200 {
-        let taken = invoker.take(call(id)).expect("taken");
+        let taken = invoker.accept(call(id)).expect("taken");
         invoker.withdraw(RequestId(id));
         assert_eq!(taken.serve(), Answer::Withdrawn);
     }
-    let taken = invoker.take(call(1000)).expect("taken");
+    let taken = invoker.accept(call(1000)).expect("taken");
     assert_eq!(taken.serve(), Answer::Served { body: vec![7] });
 }
 
@@ -171,7 +171,7 @@
         // The deadline is long, because each stall of the machine makes the dispatcher wait longer for the
         // worker.
         let request = Request { id: RequestId(1), expires: monotonic_ms() + 20_000.0, ..Request::default() };
-        let taken = invoker.take(Call { request, body: vec![7], ..Call::default() }).expect("taken");
+        let taken = invoker.accept(Call { request, body: vec![7], ..Call::default() }).expect("taken");
         assert_eq!(taken.serve(), Answer::Served { body: vec![7] });
         assert_eq!(overtaken.load(Ordering::Relaxed), second_copies);
     }
@@ -183,14 +183,14 @@
 fn an_answer_is_returned_even_if_it_exceeds_the_memory_cap() {
     let (invoker, ledger) = with_one_worker(scripted(|_, call, end| serve(call, end)), true);
     let request = Request { id: RequestId(1), expires: monotonic_ms() + 4000.0, ..Request::default() };
-    let taken = invoker.take(Call { request, body: vec![7; 100_000], ..Call::default() }).expect("taken");
+    let taken = invoker.accept(Call { request, body: vec![7; 100_000], ..Call::default() }).expect("taken");
     let calls = ledger.account(Purpose::Calls);
     let others = calls.reserve(calls.free()).expect("what is left");
     assert_eq!(taken.serve(), Answer::Served { body: vec![7; 100_000] });
     assert!(calls.used() > calls.cap(), "the answer is counted over the cap");
     let other = Request { id: RequestId(2), expires: monotonic_ms() + 4000.0, ..Request::default() };
-    let refused = invoker.take(Call { request: other, ..Call::default() }).err();
-    assert!(matches!(refused, Some(NotTaken::Crowded(span)) if span > 0.0), "{refused:?}");
+    let refused = invoker.accept(Call { request: other, ..Call::default() }).err();
+    assert!(matches!(refused, Some(AdmissionError::Overloaded(span)) if span > 0.0), "{refused:?}");
     drop((taken, others));
     assert_eq!(calls.used(), 0);
 }
--- a/crates/node/src/core/mod.rs
+++ b/crates/node/src/core/mod.rs
@@ -7,28 +7,28 @@
 mod stall;
 mod unserved;
 
-pub use crate::clock::{monotonic_ms, until, UnixTime};
-pub use attempt::{AttemptError, Cause, Verdict};
+pub use crate::clock::{monotonic_ms, time_until, UnixTime};
+pub use attempt::{AbortReason, AttemptError, WorkerRefusal};
 pub use call::{Answer, Call, Failure};
 pub(crate) use invoker::lock;
-pub use invoker::{Inbox, Invoker, NotTaken, Taken};
+pub use invoker::{AcceptedRequest, AdmissionError, Inbox, Invoker};
 
 pub use stall::{LoadChange, StallDetector, HEARTBEAT_INTERVAL};
 pub use unserved::{LogLineLimit, Unserved};
 
-use crate::state::counters::Dials;
+use crate::state::counters::ConnectionAttempts;
 use crate::state::roster::Host;
 use corkbay::{ModelId, Ms};
 use std::sync::Arc;
 use std::time::Duration;
 
 /// Called once when an attempt ends: with the body that the worker returned, or with the error.
-pub type Ending = Box<dyn FnOnce(Result<Vec<u8>, AttemptError>) + Send>;
+pub type OnAttemptEnd = Box<dyn FnOnce(Result<Vec<u8>, AttemptError>) + Send>;
 
 /// An attempt in flight.
 pub trait Exchange: Send {
     /// Cancels the attempt and returns how far it had come; `None` if its end was already reported.
-    fn give_up(&mut self, cause: Cause) -> Option<AttemptError>;
+    fn cancel(&mut self, cause: AbortReason) -> Option<AttemptError>;
     /// The cancel notice for this attempt, which may still be on its way to the worker.
     fn cancel_notice(&self) -> &CancelNotice;
 }
@@ -49,8 +49,14 @@
 pub trait Workers: Send + Sync + 'static {
     /// Starts an attempt without blocking. The client waits until `expires`; the attempt is sent by `by` or
     /// not at all (both in milliseconds on the monotonic clock).
-    fn send(&self, host: &Arc<Host>, call: &Arc<Call>, expires: Ms, by: Ms, end: Ending)
-        -> Box<dyn Exchange>;
+    fn send(
+        &self,
+        host: &Arc<Host>,
+        call: &Arc<Call>,
+        expires: Ms,
+        by: Ms,
+        end: OnAttemptEnd,
+    ) -> Box<dyn Exchange>;
     /// Orders the worker to hold `copies` copies of a model (0 only queries) and waits up to `within` for the
     /// answer. Returns the result and the number of copies that are loaded. An order that cannot be sent by
     /// `by` is not sent.
@@ -65,7 +71,7 @@
     /// Has the worker unload its idle copies of a model; there is no answer.
     fn evict(&self, host: &Arc<Host>, model: ModelId);
     /// Counters of connection attempts, for transports whose connections outlive a call.
-    fn dials(&self) -> Arc<Dials> {
+    fn connection_attempts(&self) -> Arc<ConnectionAttempts> {
         Arc::default()
     }
     /// Checks that the worker is alive.
--- a/crates/node/src/lifecycle/handover.rs
+++ b/crates/node/src/lifecycle/handover.rs
@@ -87,8 +87,8 @@
     pub fn execute(&self, command: OperatorCommand) -> Result<(), CommandError> {
         let invoker = &self.invoker;
         match &command {
-            OperatorCommand::Suspend(name) => invoker.may_suspend(name)?,
-            OperatorCommand::Resume(name) => invoker.may_resume(name)?,
+            OperatorCommand::Suspend(name) => invoker.check_suspend(name)?,
+            OperatorCommand::Resume(name) => invoker.check_resume(name)?,
             OperatorCommand::Activate if invoker.serving_state().leaving() == Some(Leave::Ending) => {
                 return Err(CommandError::Ending)
             }
@@ -109,10 +109,10 @@
 
 /// Applies overrides to this process.
 fn apply_overrides(invoker: &Arc<Invoker>, overrides: &Overrides) {
-    invoker.adopt(overrides.host_overrides.clone());
+    invoker.set_host_overrides(overrides.host_overrides.clone());
     match (overrides.drained, invoker.serving_state().leaving()) {
-        (true, None) => invoker.leave(Leave::Drained, DRAIN_SCHEDULE),
-        (false, Some(Leave::Drained)) => _ = invoker.come_back(),
+        (true, None) => invoker.start_leaving(Leave::Drained, DRAIN_SCHEDULE),
+        (false, Some(Leave::Drained)) => _ = invoker.return_to_service(),
         _ => {}
     }
 }
--- a/crates/node/src/lifecycle/handover/tests.rs
+++ b/crates/node/src/lifecycle/handover/tests.rs
@@ -10,7 +10,7 @@
 
 fn sync(folder: &Path) -> OverridesSync {
     let setup = serde_json::json!({"classes": [{"name": "check"}]});
-    let ledger = crate::state::roomy();
+    let ledger = crate::state::test_ledger();
     let limits = crate::wire::workers::Limits {
         streams: 1,
         connect: Duration::from_millis(10),
--- a/crates/node/src/lifecycle/platform.rs
+++ b/crates/node/src/lifecycle/platform.rs
@@ -98,8 +98,8 @@
         let (memory, parts) = (self.memory_mb.load(Ordering::Relaxed), self.parts.load(Ordering::Relaxed));
         self.ledger.apply_budget(&budget(memory, self.base_bytes, parts, self.fleet_size())?);
         let (clients, to_workers) = split_descriptors(self.sockets / parts);
-        self.workers.set_most(to_workers);
-        self.acceptor.get().into_iter().for_each(|acceptor| acceptor.set_most(clients));
+        self.workers.set_max_connections(to_workers);
+        self.acceptor.get().into_iter().for_each(|acceptor| acceptor.set_max_connections(clients));
         Ok(())
     }
 
@@ -193,8 +193,11 @@
     };
     if let Some(admin) = config.admin {
         let account = ledger.account(Purpose::Operators).clone();
-        let client_limits =
-            ConnectionLimits { most: operators::SEATS, stall: operators::WRITE_STALL, account };
+        let client_limits = ConnectionLimits {
+            max_connections: operators::SEATS,
+            write_timeout: operators::WRITE_STALL,
+            account,
+        };
         let acceptor =
             Acceptor::open(admin, client_limits).map_err(|error| ConfigError::new("admin", error))?;
         let (task_invoker, overrides) = (invoker.clone(), overrides.clone());
@@ -231,7 +234,8 @@
     spawn(move || command_channel::follow(&task_invoker, &command_channel, cursor));
     wait_until_in_sync(&overrides, &channel);
     let account = ledger.account(Purpose::Clients).clone();
-    let client_limits = ConnectionLimits { most: clients, stall: thrift_front::WRITE_STALL, account };
+    let client_limits =
+        ConnectionLimits { max_connections: clients, write_timeout: thrift_front::WRITE_STALL, account };
     let acceptor =
         Acceptor::open(config.listen, client_limits).map_err(|error| ConfigError::new("listen", error))?;
     // The other process may have exited since the limits were set.
@@ -264,7 +268,7 @@
         // successor by then.
         std::thread::sleep(OTHER_PROCESS_NOTICE_TIME);
     }
-    invoker.serving();
+    invoker.set_serving();
     let longest = longest_deadline(&config.settings).min(MAX_COUNTED_DEADLINE);
     let shutdown = Shutdown {
         schedule: || {
@@ -283,7 +287,7 @@
                 ACCEPT_AFTER_SIGTERM_WITH_SUCCESSOR.as_millis() as f64,
             )
         },
-        no_new_clients: || overrides.succession().has_ready_successor() && acceptor.held() == 0,
+        no_new_clients: || overrides.succession().has_ready_successor() && acceptor.open_connections() == 0,
         acceptor: &acceptor,
         terminate_after: ACCEPT_AFTER_SIGTERM + longest.saturating_sub(FINAL_ANSWER_TIME),
     };
@@ -365,26 +369,29 @@
     while signals.wait().all(handle) {}
     let shutdown_start = Instant::now();
     let schedule = (shutdown.schedule)();
-    invoker.leave(Leave::Ending, schedule);
+    invoker.start_leaving(Leave::Ending, schedule);
     let accepting = Duration::from_secs_f64(schedule.refuse_requests_at / 1000.0);
     let mut handle_pending = || signals.pending().for_each(|signal| _ = handle(signal));
-    while shutdown_start.elapsed() < accepting && !((shutdown.no_new_clients)() && invoker.owed() == 0) {
+    while shutdown_start.elapsed() < accepting && !((shutdown.no_new_clients)() && invoker.unanswered() == 0)
+    {
         std::thread::sleep(SHUTDOWN_POLL_INTERVAL);
         handle_pending();
     }
     let remaining = |limit: Duration| limit.saturating_sub(shutdown_start.elapsed());
-    let mut all_answered = invoker.settle(SHUTDOWN_POLL_INTERVAL.min(remaining(shutdown.terminate_after)));
+    let mut all_answered =
+        invoker.wait_until_answered(SHUTDOWN_POLL_INTERVAL.min(remaining(shutdown.terminate_after)));
     while !all_answered && !remaining(shutdown.terminate_after).is_zero() {
         handle_pending();
-        all_answered = invoker.settle(SHUTDOWN_POLL_INTERVAL.min(remaining(shutdown.terminate_after)));
+        all_answered =
+            invoker.wait_until_answered(SHUTDOWN_POLL_INTERVAL.min(remaining(shutdown.terminate_after)));
     }
     let all_answered = all_answered || {
         invoker.end_all();
-        invoker.settle(FINAL_ANSWER_TIME / 2)
+        invoker.wait_until_answered(FINAL_ANSWER_TIME / 2)
     };
     shutdown
         .acceptor
-        .wind_up(MAX_CLOSE_TIME.min(remaining(shutdown.terminate_after + 3 * FINAL_ANSWER_TIME / 4)));
+        .shut_down(MAX_CLOSE_TIME.min(remaining(shutdown.terminate_after + 3 * FINAL_ANSWER_TIME / 4)));
     tracing::info!("{}", invoker.counters);
     all_answered
 }
--- a/crates/node/src/lifecycle/service.rs
+++ b/crates/node/src/lifecycle/service.rs
@@ -10,7 +10,7 @@
 use crate::state::catalog::{Catalog, CatalogError, Worker};
 use crate::state::deploy_entries::DeployEntry;
 use crate::state::invocations::Invocations;
-use crate::state::store::{KeptAfterRestart, Store, StoreError};
+use crate::state::store::{RestartRetention, Store, StoreError};
 use crate::timers;
 use crate::wire::accept::{Acceptor, ConnectionLimits};
 use crate::wire::feed::{self, FeedRole, Role};
@@ -37,10 +37,10 @@
 /// Bounds on how long records are kept after a restart, as the wall clock may have been stepped while no process ran.
 /// An idempotency key is kept for its window at least, an outcome for long enough to be fetched, and neither for
 /// longer than it could have been kept without a step.
-fn kept_after_restart(deploy: &Deploy) -> KeptAfterRestart {
+fn kept_after_restart(deploy: &Deploy) -> RestartRetention {
     let spans = deploy.classes.iter().map(|class| class.give_up_ms + class.dedup_window_ms);
     let longest_ms = spans.fold(0.0, f64::max);
-    KeptAfterRestart {
+    RestartRetention {
         least: longest_ms.max(MIN_OUTCOME_RETENTION.as_secs_f64() * 1000.0),
         most: longest_ms.max(MIN_OUTCOME_RETENTION.as_secs_f64() * 1000.0) + deploy.retention_s * 1000.0,
     }
@@ -86,7 +86,8 @@
     let RecordTargets { catalog, invocations, .. } = targets;
     let api = Arc::new(InvokeApi { invoker: invoker.clone(), invocations, catalog, role });
     let account = ledger.account(Purpose::Clients).clone();
-    let client_limits = ConnectionLimits { most: clients, stall: invoke::WRITE_STALL, account };
+    let client_limits =
+        ConnectionLimits { max_connections: clients, write_timeout: invoke::WRITE_STALL, account };
     let acceptor = Acceptor::open(deploy.listen, client_limits).map_err(|e| at("listen")(&e))?;
     let bound = acceptor.address().map_err(|e| at("listen")(&e))?;
     spawn(move || loop {
--- a/crates/node/src/state/catalog.rs
+++ b/crates/node/src/state/catalog.rs
@@ -145,12 +145,12 @@
 
     /// All functions by name, to be written as a JSON object.
     pub fn functions(&self) -> Object {
-        Object { records: self.store.under(FUNCTION), prefix_bytes: FUNCTION.len() }
+        Object { records: self.store.records_with_prefix(FUNCTION), prefix_bytes: FUNCTION.len() }
     }
 
     /// All workers by name, to be written as a JSON object.
     pub fn listed_workers(&self) -> Object {
-        Object { records: self.store.under(WORKER), prefix_bytes: WORKER.len() }
+        Object { records: self.store.records_with_prefix(WORKER), prefix_bytes: WORKER.len() }
     }
 
     /// The worker with this name.
@@ -195,13 +195,13 @@
     /// Passes the complete list of workers to the invoker.
     pub fn announce(&self, invoker: &Arc<Invoker>) {
         let listings = self.workers().into_iter().map(|(name, worker)| listing(name, worker));
-        invoker.news(listings.collect(), true, false);
+        invoker.update_roster(listings.collect(), true, false);
     }
 
     /// Passes one added or changed worker to the invoker.
     pub fn announce_worker(&self, invoker: &Arc<Invoker>, name: &str) {
         match self.worker(name) {
-            Some(worker) => invoker.news(vec![listing(name.to_string(), worker)], false, false),
+            Some(worker) => invoker.update_roster(vec![listing(name.to_string(), worker)], false, false),
             // Removed in the meantime.
             None => self.announce(invoker),
         }
@@ -213,7 +213,7 @@
     }
 
     fn all<T: DeserializeOwned>(&self, prefix: &str) -> BTreeMap<String, T> {
-        let records = self.store.under(prefix).into_iter();
+        let records = self.store.records_with_prefix(prefix).into_iter();
         let entry = |record: Record| {
             let name = record.key.strip_prefix(prefix)?.to_string();
             Some((name, record.value?.read().ok()?))
--- a/crates/node/src/state/clients.rs
+++ b/crates/node/src/state/clients.rs
@@ -43,12 +43,12 @@
     /// It was answered before and has no open request.
     Idle,
     /// It was never answered and has no open request.
-    Silent,
+    NeverAnswered,
 }
 
 /// Why no connection can be evicted to make room for a new one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NoneIdle {
+pub enum EvictionError {
     /// A connection without open requests has unread data that its reader has not had the time to read yet.
     Unread,
     /// All connections have open requests or a stalled reader.
@@ -105,11 +105,11 @@
 
     /// The state of a connection, and since when on the monotonic clock in milliseconds.
     pub fn state(&self, number: u64) -> (ClientState, Ms) {
-        self.entries.get(&number).map_or((ClientState::Silent, 0.0), |entry| {
+        self.entries.get(&number).map_or((ClientState::NeverAnswered, 0.0), |entry| {
             let state = match (entry.open, entry.answered) {
                 (1.., _) => ClientState::Busy,
                 (0, true) => ClientState::Idle,
-                (0, false) => ClientState::Silent,
+                (0, false) => ClientState::NeverAnswered,
             };
             (state, entry.since)
         })
@@ -170,7 +170,7 @@
     /// answered, else the one that is idle longest. Each is returned once and is to be closed; only requests received by
     /// then are still answered. Connections earlier in this order that have unread data are read and answered first, and
     /// closed after that. While a connection that was never answered has unread data, no answered one is evicted.
-    pub fn evict_idle(&mut self, mut has_unread: impl FnMut(&H) -> bool) -> Result<H, NoneIdle> {
+    pub fn evict_idle(&mut self, mut has_unread: impl FnMut(&H) -> bool) -> Result<H, EvictionError> {
         let mut idle: Vec<_> =
             self.entries.values_mut().filter(|entry| entry.open == 0 && !entry.evicted).collect();
         idle.sort_by(|a, b| a.answered.cmp(&b.answered).then(a.since.total_cmp(&b.since)));
@@ -189,7 +189,7 @@
             (entry.evicted, entry.draining, entry.shut) = (true, true, true);
             return Ok(entry.handle.clone());
         }
-        Err(if reader_may_catch_up { NoneIdle::Unread } else { NoneIdle::Busy })
+        Err(if reader_may_catch_up { EvictionError::Unread } else { EvictionError::Busy })
     }
 }
 
--- a/crates/node/src/state/clients/tests.rs
+++ b/crates/node/src/state/clients/tests.rs
@@ -21,10 +21,14 @@
     let evicted: Vec<_> = std::iter::from_fn(|| clients.evict_idle(|_| false).ok()).collect();
     assert_eq!(evicted, ["silent longer", "silent", "idle", "fresh"]);
     clients.closed(busy, 9.0);
-    assert_eq!(clients.state(busy), (ClientState::Silent, 9.0), "its cancelled request was never answered");
+    assert_eq!(
+        clients.state(busy),
+        (ClientState::NeverAnswered, 9.0),
+        "its cancelled request was never answered"
+    );
     assert_eq!(clients.evict_idle(|_| false), Ok("busy"));
     clients.remove(busy);
-    assert_eq!(clients.evict_idle(|_| false), Err(NoneIdle::Busy));
+    assert_eq!(clients.evict_idle(|_| false), Err(EvictionError::Busy));
 }
 
 /// Guards a drain: it covers all connections, new ones too; each is shut down once, and only without unanswered requests.
@@ -89,7 +93,7 @@
     let usual = clients.insert("usual", 1.0);
     clients.answered(usual, 2.0);
     clients.insert("flood", 3.0);
-    assert_eq!(clients.evict_idle(|name| *name == "flood"), Err(NoneIdle::Unread));
+    assert_eq!(clients.evict_idle(|name| *name == "flood"), Err(EvictionError::Unread));
     clients.insert("silent", 4.0);
     assert_eq!(clients.evict_idle(|name| *name == "flood"), Ok("silent"));
     assert_eq!(clients.evict_idle(|_| false), Ok("flood"));
@@ -103,8 +107,8 @@
     clients.insert("held up", 1.0);
     let attempts: Vec<_> = (0..9).map(|_| clients.evict_idle(|_| true)).collect();
     let (unread, busy) = attempts.split_at(MAX_UNREAD_ATTEMPTS as usize - 1);
-    assert!(unread.iter().all(|end| *end == Err(NoneIdle::Unread)), "{attempts:?}");
-    assert!(busy.iter().all(|end| *end == Err(NoneIdle::Busy)), "{attempts:?}");
+    assert!(unread.iter().all(|end| *end == Err(EvictionError::Unread)), "{attempts:?}");
+    assert!(busy.iter().all(|end| *end == Err(EvictionError::Busy)), "{attempts:?}");
 }
 
 /// Guards against losing an unread request by a drain, and against missing the disconnect of its client.
--- a/crates/node/src/state/counters.rs
+++ b/crates/node/src/state/counters.rs
@@ -12,7 +12,7 @@
 
 impl Counter {
     /// Increments the counter.
-    pub fn add(&self) {
+    pub fn increment(&self) {
         self.0.fetch_add(1, Ordering::Relaxed);
     }
 
@@ -24,7 +24,7 @@
 
 /// Connection attempts to workers.
 #[derive(Debug, Default)]
-pub struct Dials {
+pub struct ConnectionAttempts {
     /// All connection attempts.
     pub tried: Counter,
     /// Connection attempts that were refused or timed out.
@@ -43,7 +43,7 @@
     /// Probes of whether a model is loaded, which cost a worker as much as a load order.
     pub questions: Counter,
     /// Connection attempts of the framed protocol to workers.
-    pub dials: Arc<Dials>,
+    pub connection_attempts: Arc<ConnectionAttempts>,
     /// Calls to the command channel.
     pub channel_calls: Counter,
     /// Events and entries of the command channel that could not be parsed.
@@ -89,15 +89,15 @@
 }
 
 impl Counters {
-    /// All counters at zero, except `dials`, which is shared with the code that connects to workers.
-    pub fn new(dials: Arc<Dials>) -> Self {
+    /// All counters at zero, except `connection_attempts`, which is shared with the code that connects to workers.
+    pub fn new(connection_attempts: Arc<ConnectionAttempts>) -> Self {
         let counter = Counter::default;
         Counters {
             taken: counter(),
             sent: counter(),
             orders: counter(),
             questions: counter(),
-            dials,
+            connection_attempts,
             channel_calls: counter(),
             channel_odd: counter(),
             evictions: counter(),
@@ -142,14 +142,14 @@
     /// Counts a request that ended without an answer from a worker.
     pub fn unserved(&self, reason: Unserved) {
         if let Some(counter) = self.unserved.get(reason.position()) {
-            counter.add();
+            counter.increment();
         }
     }
 
     /// Counts an unsuccessful attempt by its outcome.
     pub fn lost(&self, outcome: Outcome) {
         if let Some(index) = OUTCOMES.iter().position(|entry| entry.0 == outcome) {
-            self.lost[index].add();
+            self.lost[index].increment();
         }
     }
 }
@@ -162,8 +162,8 @@
             ("sent", &self.sent),
             ("orders", &self.orders),
             ("questions", &self.questions),
-            ("dials", &self.dials.tried),
-            ("dials_failed", &self.dials.failed),
+            ("dials", &self.connection_attempts.tried),
+            ("dials_failed", &self.connection_attempts.failed),
             ("channel_calls", &self.channel_calls),
             ("channel_odd", &self.channel_odd),
             ("evictions", &self.evictions),
--- a/crates/node/src/state/deploy_entries/tests.rs
+++ b/crates/node/src/state/deploy_entries/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::state::roomy;
+use crate::state::test_ledger;
 use std::sync::Arc;
 
 /// Enough entries that each page needs more than one batch.
@@ -21,10 +21,10 @@
 
 #[test]
 fn entries_are_written_when_the_file_changes_them_and_only_then() {
-    let store = Arc::new(Store::in_memory("one", roomy()));
+    let store = Arc::new(Store::in_memory("one", test_ledger()));
     let catalog = Catalog::new(store.clone(), Vec::new());
     catalog.seed(entries(ENTRY_COUNT, 1)).expect("room");
-    assert_eq!(store.under(FUNCTION).len(), ENTRY_COUNT);
+    assert_eq!(store.records_with_prefix(FUNCTION).len(), ENTRY_COUNT);
     catalog.seed(entries(ENTRY_COUNT, 1)).expect("room");
     assert_eq!(versions(&store), ENTRY_COUNT as u64, "nothing is written twice");
     catalog.put_function("0", &function(7)).expect("room");
@@ -38,7 +38,7 @@
 /// Guards against a memory budget that is too small for the deploy file: the planned size covers the actual one.
 #[test]
 fn the_planned_size_covers_the_actual_size() {
-    let store = Arc::new(Store::in_memory("one", roomy()));
+    let store = Arc::new(Store::in_memory("one", test_ledger()));
     Catalog::new(store.clone(), Vec::new()).seed(entries(ENTRY_COUNT, 1)).expect("room");
     let planned =
         (0..ENTRY_COUNT).map(|number| configured_size("one", FUNCTION, &number.to_string(), &function(1)));
--- a/crates/node/src/state/invocations.rs
+++ b/crates/node/src/state/invocations.rs
@@ -56,7 +56,7 @@
 }
 
 /// An accepted deferred call, with memory reserved for its final record.
-pub struct Promise {
+pub struct AcceptedCall {
     deferred: Deferred,
     reservation: Reservation,
 }
@@ -139,7 +139,7 @@
         let retention = retention.as_secs_f64() * 1000.0;
         let (keys, waiters, resumable) = (Mutex::default(), Mutex::default(), Mutex::default());
         let invocations = Invocations { store, retention, max_answer_bytes, keys, waiters, resumable };
-        for record in invocations.store.under(INVOCATION) {
+        for record in invocations.store.records_with_prefix(INVOCATION) {
             let (Some(id), Some(mut deferred)) = (id_of(&record), read(&record)) else { continue };
             if &*record.node != invocations.store.node() {
                 continue;
@@ -178,12 +178,12 @@
     }
 
     /// Reserves memory for the final record of a call that an earlier process accepted, even above the account's cap.
-    pub fn promise_again(&self, deferred: &Deferred) -> Promise {
+    pub fn accept_again(&self, deferred: &Deferred) -> AcceptedCall {
         let reservation = self
             .store
             .ledger()
             .reserve_over_cap(Purpose::DeferredFinal, self.max_answer_bytes.div_ceil(3) * 4);
-        Promise { deferred: deferred.clone(), reservation }
+        AcceptedCall { deferred: deferred.clone(), reservation }
     }
 
     /// Registers a call under its idempotency key, unless the key is in use. `until` is when the key expires, on the
@@ -230,7 +230,7 @@
         id: RequestId,
         deferred: Deferred,
         tenant: Option<usize>,
-    ) -> Result<Promise, StoreError> {
+    ) -> Result<AcceptedCall, StoreError> {
         let (key, open) = (key_of(id), self.draft(&deferred, false));
         let text = open.value.as_ref().map_or(0, |text| text.as_str().len());
         let node = self.store.node().len();
@@ -239,13 +239,19 @@
         let reservation = self.store.reserve(Purpose::DeferredFinal, tenant, final_size)?;
         let held = Some(self.store.reserve(Purpose::DeferredOpen, tenant, open_size)?);
         self.store.put(&mut Draft { key: &key, held, ..open })?;
-        Ok(Promise { deferred, reservation })
+        Ok(AcceptedCall { deferred, reservation })
     }
 
     /// Stores the final answer of a call. A call that certainly did not run releases its key, so that the client's next
     /// call with the key is run.
-    pub fn finish(&self, id: RequestId, key: Option<&Key>, answer: &Answer, promise: Option<Promise>) {
-        if let Some(Promise { mut deferred, reservation }) = promise {
+    pub fn finish(
+        &self,
+        id: RequestId,
+        key: Option<&Key>,
+        answer: &Answer,
+        accepted_call: Option<AcceptedCall>,
+    ) {
+        if let Some(AcceptedCall { mut deferred, reservation }) = accepted_call {
             (deferred.answer, deferred.rerun) = (Some(answer.clone()), None);
             let key = key_of(id);
             let mut final_draft = Draft {
@@ -299,7 +305,7 @@
             let found = self.get(id);
             let is_done = found.as_ref().is_none_or(|found| found.0.is_final || monotonic_ms() >= deadline);
             if !is_done {
-                let _ = timers::receive(&wakeup, crate::core::until(deadline));
+                let _ = timers::receive(&wakeup, crate::core::time_until(deadline));
             }
             lock(&self.waiters).senders.remove(&number);
             if is_done {
--- a/crates/node/src/state/invocations/tests.rs
+++ b/crates/node/src/state/invocations/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::state::roomy;
+use crate::state::test_ledger;
 use corkbay_ledger::{Budget, Ledger, Shares, TenantShare, MIB};
 
 const MAX_ANSWER_BYTES: usize = 64 << 10;
@@ -20,7 +20,7 @@
 /// key is answered with that failure.
 #[test]
 fn a_call_open_at_a_restart_fails_and_keeps_its_key() {
-    let store = Arc::new(Store::in_memory("a", roomy()));
+    let store = Arc::new(Store::in_memory("a", test_ledger()));
     let before =
         Invocations::new(store.clone(), Duration::from_secs(60), MAX_ANSWER_BYTES).expect("in memory");
     before.accept(RequestId(7), deferred("k"), None).expect("in memory");
@@ -37,15 +37,15 @@
 /// same key.
 #[test]
 fn a_refused_call_does_not_hold_its_key_after_a_restart() {
-    let store = Arc::new(Store::in_memory("a", roomy()));
+    let store = Arc::new(Store::in_memory("a", test_ledger()));
     let before =
         Invocations::new(store.clone(), Duration::from_secs(60), MAX_ANSWER_BYTES).expect("in memory");
     let key = ("f".to_string(), "k".to_string());
     let refused = Answer::Refused { retry_after: 0.0, known: Failure { may_have_run: false, late: false } };
     let served = Answer::Served { body: b"z".to_vec() };
     for (id, answer) in [(9, &refused), (8, &served), (10, &refused)] {
-        let promise = before.accept(RequestId(id), deferred("k"), None).expect("in memory");
-        before.finish(RequestId(id), Some(&key), answer, Some(promise));
+        let accepted_call = before.accept(RequestId(id), deferred("k"), None).expect("in memory");
+        before.finish(RequestId(id), Some(&key), answer, Some(accepted_call));
     }
     let after = Invocations::new(store, Duration::from_secs(60), MAX_ANSWER_BYTES).expect("in memory");
     let repeat = after.admit(&key, RequestId(11), b"x", monotonic_ms() + 1000.0, None);
@@ -55,11 +55,12 @@
 /// Guards against a replica that answers for the node that accepted the call.
 #[test]
 fn a_replica_invents_no_answer() {
-    let (one, two) = (Arc::new(Store::in_memory("one", roomy())), Arc::new(Store::in_memory("two", roomy())));
+    let (one, two) =
+        (Arc::new(Store::in_memory("one", test_ledger())), Arc::new(Store::in_memory("two", test_ledger())));
     let accepting =
         Invocations::new(one.clone(), Duration::from_secs(60), MAX_ANSWER_BYTES).expect("in memory");
     accepting.accept(RequestId(7), deferred("k"), None).expect("in memory");
-    two.merge(one.lacking(&two.digest(), usize::MAX)).expect("in memory");
+    two.merge(one.missing_records(&two.digest(), usize::MAX)).expect("in memory");
     let replica =
         Invocations::new(two.clone(), Duration::from_secs(60), MAX_ANSWER_BYTES).expect("in memory");
     let (record, kept) = replica.get(RequestId(7)).expect("replicated");
@@ -68,7 +69,7 @@
 
 #[test]
 fn a_key_is_released_only_if_nothing_ran() {
-    let store = Arc::new(Store::in_memory("a", roomy()));
+    let store = Arc::new(Store::in_memory("a", test_ledger()));
     let invocations = Invocations::new(store, Duration::from_secs(60), MAX_ANSWER_BYTES).expect("in memory");
     let key = ("f".to_string(), "k".to_string());
     let admit =
@@ -98,14 +99,15 @@
 fn accepted_calls_have_room_for_their_answers_and_a_flood_leaves_other_tenants_theirs() {
     let (invocations, ledger) = small();
     let accept = |id, tenant| invocations.accept(RequestId(id), deferred("k"), Some(tenant));
-    let flood: Vec<_> = (0..1000).map_while(|id| accept(id, 0).ok().map(|promise| (id, promise))).collect();
+    let flood: Vec<_> =
+        (0..1000).map_while(|id| accept(id, 0).ok().map(|accepted_call| (id, accepted_call))).collect();
     assert!((10..100).contains(&flood.len()), "{}", flood.len());
     let refused = accept(5000, 0);
     assert!(matches!(refused, Err(StoreError::Full { retry_after: Some(span), .. }) if span > 60_000.0));
     let other: Vec<_> = (2000..2010).map(|id| (id, accept(id, 1).expect("its own share"))).collect();
     let answer = Answer::Served { body: vec![7; MAX_ANSWER_BYTES] };
-    for (id, promise) in flood.into_iter().chain(other) {
-        invocations.finish(RequestId(id), None, &answer, Some(promise));
+    for (id, accepted_call) in flood.into_iter().chain(other) {
+        invocations.finish(RequestId(id), None, &answer, Some(accepted_call));
         assert_eq!(invocations.get(RequestId(id)).and_then(|found| found.1.answer), Some(answer.clone()));
     }
     assert_eq!(ledger.account(Purpose::DeferredOpen).used(), 0);
--- a/crates/node/src/state/mod.rs
+++ b/crates/node/src/state/mod.rs
@@ -17,7 +17,7 @@
 
 /// A ledger with a budget that is large enough for any test.
 #[cfg(test)]
-pub(crate) fn roomy() -> std::sync::Arc<corkbay_ledger::Ledger> {
+pub(crate) fn test_ledger() -> std::sync::Arc<corkbay_ledger::Ledger> {
     use corkbay_ledger::{Budget, Ledger, Shares, MIB};
     let budget = Budget::plan(1024 * MIB, 0, 0.0, &Shares::daemon(), ("memory_mb", "memory.shares"));
     std::sync::Arc::new(Ledger::new(&budget.expect("fits"), &[]))
--- a/crates/node/src/state/roster.rs
+++ b/crates/node/src/state/roster.rs
@@ -167,8 +167,8 @@
     }
 
     /// Checks whether a host can be suspended: it was listed before, and there is room for its name.
-    pub fn may_suspend(&mut self, name: &str) -> Result<(), SuspensionError> {
-        self.may_resume(name)?;
+    pub fn check_suspend(&mut self, name: &str) -> Result<(), SuspensionError> {
+        self.check_resume(name)?;
         let bytes = self.host_overrides.bytes() + HostOverrides::cost(name);
         if !self.host_overrides.is_suspended(name) && self.host_overrides_held.resize(bytes).is_err() {
             return Err(SuspensionError::NoRoom);
@@ -177,14 +177,14 @@
     }
 
     /// Checks whether a host can be resumed: it was listed before.
-    pub fn may_resume(&self, name: &str) -> Result<(), SuspensionError> {
+    pub fn check_resume(&self, name: &str) -> Result<(), SuspensionError> {
         let known = self.ids_by_name.contains_key(name) || self.host_overrides.is_suspended(name);
         let listed = known || self.forgotten.contains(&hash(name));
         listed.then_some(()).ok_or(SuspensionError::Unknown)
     }
 
     /// Replaces the operators' overrides on all hosts; returns the roster entries of the hosts whose override has changed.
-    pub fn adopt(&mut self, host_overrides: HostOverrides) -> RosterUpdate {
+    pub fn set_host_overrides(&mut self, host_overrides: HostOverrides) -> RosterUpdate {
         let before = std::mem::replace(&mut self.host_overrides, host_overrides);
         self.host_overrides_held.reserve_over_cap(self.host_overrides.bytes());
         let changed = self.hosts.values().filter(|known| {
--- a/crates/node/src/state/roster/tests.rs
+++ b/crates/node/src/state/roster/tests.rs
@@ -50,17 +50,17 @@
 }
 
 fn suspend(directory: &mut WorkerDirectory, name: &str, now: Ms) -> Result<RosterUpdate, SuspensionError> {
-    directory.may_suspend(name)?;
+    directory.check_suspend(name)?;
     let mut host_overrides = directory.host_overrides().clone();
     host_overrides.suspend(name, now);
-    Ok(directory.adopt(host_overrides))
+    Ok(directory.set_host_overrides(host_overrides))
 }
 
 fn resume(directory: &mut WorkerDirectory, name: &str, now: Ms) -> Result<RosterUpdate, SuspensionError> {
-    directory.may_resume(name)?;
+    directory.check_resume(name)?;
     let mut host_overrides = directory.host_overrides().clone();
     host_overrides.resume(name, now);
-    Ok(directory.adopt(host_overrides))
+    Ok(directory.set_host_overrides(host_overrides))
 }
 
 /// Guards against losing overrides on hosts that left long ago: an operator may still suspend them, and a host that
--- a/crates/node/src/state/store/merge.rs
+++ b/crates/node/src/state/store/merge.rs
@@ -125,7 +125,7 @@
 
     /// The records that a node with this digest lacks or has in another version, up to `most` bytes of them. The rest
     /// is returned for the node's next digest.
-    pub fn lacking(&self, digest: &BTreeMap<Arc<str>, Stamp>, most: usize) -> Vec<Record> {
+    pub fn missing_records(&self, digest: &BTreeMap<Arc<str>, Stamp>, most: usize) -> Vec<Record> {
         let now = UnixTime::steady();
         let records = lock(&self.records);
         let shared = records.values().map(|entry| &entry.record).filter(|record| is_shared(record, now));
--- a/crates/node/src/state/store/mod.rs
+++ b/crates/node/src/state/store/mod.rs
@@ -64,16 +64,16 @@
 /// Limits on how long expiring records from the log are kept after a restart, in milliseconds. The wall clock may have
 /// been stepped since they were written, so their expiry dates are trusted only within these limits.
 #[derive(Clone, Copy, Debug)]
-pub struct KeptAfterRestart {
+pub struct RestartRetention {
     /// Minimum time after the restart.
     pub least: Ms,
     /// Maximum time after the restart.
     pub most: Ms,
 }
 
-impl KeptAfterRestart {
+impl RestartRetention {
     /// No limits: expiry dates are taken as written.
-    pub const AS_DATED: KeptAfterRestart = KeptAfterRestart { least: 0.0, most: Ms::INFINITY };
+    pub const AS_DATED: RestartRetention = RestartRetention { least: 0.0, most: Ms::INFINITY };
 
     fn keep_until(self, expires: UnixTime, now: Ms) -> Ms {
         now + (expires.at_start_clock() - now).clamp(self.least, self.most)
@@ -111,7 +111,7 @@
         node: &str,
         folder: &Path,
         ledger: Arc<Ledger>,
-        kept: KeptAfterRestart,
+        kept: RestartRetention,
     ) -> Result<Self, LogError> {
         let mut store = Store::in_memory(node, ledger);
         let queued = store.ledger.account(Purpose::Log).clone();
@@ -149,7 +149,7 @@
     }
 
     /// The live records whose keys start with a prefix, without tombstones. They share their contents with the store.
-    pub fn under(&self, prefix: &str) -> Vec<Record> {
+    pub fn records_with_prefix(&self, prefix: &str) -> Vec<Record> {
         let now = monotonic_ms();
         let records = lock(&self.records);
         let range = records.range::<str, _>((Bound::Included(prefix), Bound::Unbounded));
--- a/crates/node/src/state/store/tests.rs
+++ b/crates/node/src/state/store/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::state::record::Text;
-use crate::state::roomy;
+use crate::state::test_ledger;
 use corkbay_ledger::{Budget, Shares, KIB, MIB};
 use proptest::prelude::*;
 
@@ -52,24 +52,24 @@
     #[test]
     fn nodes_that_exchange_lacking_records_converge(left in proptest::collection::vec(record(), 0..6),
                                              right in proptest::collection::vec(record(), 0..6)) {
-        let (one, two) = (Store::in_memory("one", roomy()), Store::in_memory("two", roomy()));
+        let (one, two) = (Store::in_memory("one", test_ledger()), Store::in_memory("two", test_ledger()));
         let without_expiry = |mut records: Vec<Record>| {
             records.iter_mut().for_each(|record| record.expires = UnixTime::NONE);
             records
         };
         one.merge(without_expiry(left)).expect("in memory");
         two.merge(without_expiry(right)).expect("in memory");
-        two.merge(one.lacking(&two.digest(), ALL)).expect("in memory");
-        one.merge(two.lacking(&one.digest(), ALL)).expect("in memory");
+        two.merge(one.missing_records(&two.digest(), ALL)).expect("in memory");
+        one.merge(two.missing_records(&one.digest(), ALL)).expect("in memory");
         prop_assert_eq!(one.digest(), two.digest());
     }
 }
 
 #[test]
 fn a_single_writer_record_rejects_other_nodes_and_any_write_once_final() {
-    let (one, two) = (Store::in_memory("one", roomy()), Store::in_memory("two", roomy()));
+    let (one, two) = (Store::in_memory("one", test_ledger()), Store::in_memory("two", test_ledger()));
     one.put(&mut call("call/1", 1, false)).expect("first");
-    two.merge(one.lacking(&two.digest(), ALL)).expect("in memory");
+    two.merge(one.missing_records(&two.digest(), ALL)).expect("in memory");
     let foreign = two.put(&mut call("call/1", 2, true));
     assert!(matches!(foreign, Err(StoreError::Foreign(node)) if &*node == "one"));
     one.put(&mut call("call/1", 3, true)).expect("its writer");
@@ -129,7 +129,7 @@
 
 #[test]
 fn expired_records_are_neither_sent_nor_merged() {
-    let (one, two) = (Store::in_memory("one", roomy()), Store::in_memory("two", roomy()));
+    let (one, two) = (Store::in_memory("one", test_ledger()), Store::in_memory("two", test_ledger()));
     let mut draft = Draft { expires: UnixTime::of(monotonic_ms() - 1.0), ..Draft::new("a", text(1)) };
     let old = one.put(&mut draft).expect("in memory");
     assert!(one.get("a").is_none() && one.digest().is_empty());
@@ -139,12 +139,12 @@
 /// Guards against unbounded replication messages: records that don't fit into one are sent with the next.
 #[test]
 fn nodes_converge_through_bounded_messages() {
-    let (one, two) = (Store::in_memory("one", roomy()), Store::in_memory("two", roomy()));
+    let (one, two) = (Store::in_memory("one", test_ledger()), Store::in_memory("two", test_ledger()));
     for name in 0..100 {
         one.put(&mut Draft::new(&format!("function/{name}"), text("x".repeat(100)))).expect("room");
     }
-    let swaps =
-        (0..100).take_while(|_| two.merge(one.lacking(&two.digest(), 8 * KIB)).expect("in memory") > 0);
+    let swaps = (0..100)
+        .take_while(|_| two.merge(one.missing_records(&two.digest(), 8 * KIB)).expect("in memory") > 0);
     assert!((5..50).contains(&swaps.count()));
     assert_eq!(one.digest(), two.digest());
 }
@@ -153,7 +153,7 @@
 /// they are durable, other purposes keep their share, and afterwards all records are there and the charges released.
 #[test]
 fn writes_that_wait_for_the_disk_are_accounted_and_visible_once_durable() {
-    let ledger = roomy();
+    let ledger = test_ledger();
     let (log, resume_disk) = Log::stalled(ledger.account(Purpose::Log).clone());
     let store = Arc::new(Store { log: Some(log), ..Store::in_memory("one", ledger.clone()) });
     let write = |key: &'static str| {
@@ -170,7 +170,7 @@
     assert!(ledger.reserve(Purpose::Calls, None, KIB).is_ok());
     resume_disk();
     assert!(writes.into_iter().all(|write| write.join().expect("no panic")));
-    assert_eq!(store.under("function/").len(), 2);
+    assert_eq!(store.records_with_prefix("function/").len(), 2);
     assert_eq!(ledger.account(Purpose::Log).used(), 0);
     drop(store);
     assert_eq!(ledger.held(), 0);
--- a/crates/node/src/state/store/tests/batches.rs
+++ b/crates/node/src/state/store/tests/batches.rs
@@ -25,15 +25,15 @@
     too_large.iter_mut().for_each(|draft| draft.value = text("x".repeat(10 * KIB)));
     assert!(matches!(store.put_many(&mut too_large), Err(StoreError::Full { .. })));
     drop(too_large);
-    assert_eq!((store.under("function/").len(), ledger.held()), (1, held));
+    assert_eq!((store.records_with_prefix("function/").len(), ledger.held()), (1, held));
 
     let written = store.put_many(&mut drafts(&keys[..MAX_BATCH])).expect("room");
-    assert_eq!((written.len(), store.under("function/").len()), (MAX_BATCH, MAX_BATCH + 1));
+    assert_eq!((written.len(), store.records_with_prefix("function/").len()), (MAX_BATCH, MAX_BATCH + 1));
 }
 
 #[test]
 fn configuration_pages_are_complete_and_include_tombstones() {
-    let store = Store::in_memory("one", roomy());
+    let store = Store::in_memory("one", test_ledger());
     for key in ["function/a", "function/b", "function/c", "worker/a", "worker/b"] {
         store.put(&mut Draft::new(key, text(1))).expect("room");
     }
--- a/crates/node/src/state/store/tests/sharing.rs
+++ b/crates/node/src/state/store/tests/sharing.rs
@@ -27,7 +27,7 @@
 }
 
 fn open(folder: &Path) -> Result<Store, LogError> {
-    Store::open("one", folder, roomy(), KeptAfterRestart::AS_DATED)
+    Store::open("one", folder, test_ledger(), RestartRetention::AS_DATED)
 }
 
 fn of_peer(key: &str, version: u64) -> Record {
@@ -44,7 +44,7 @@
 /// Guards against followers that diverge: a change that is missed, sent twice or reordered would make them differ.
 #[test]
 fn each_change_is_sent_once_in_the_order_in_which_it_took_effect() {
-    let store = Arc::new(Store::in_memory("one", roomy()));
+    let store = Arc::new(Store::in_memory("one", test_ledger()));
     store.put(&mut Draft::new("function/before", text(0))).expect("room");
     let (changes, received) = mpsc::channel();
     store.on_change(changes);
@@ -73,7 +73,7 @@
 
 #[test]
 fn node_local_records_are_neither_sent_nor_merged() {
-    let (one, two) = (Store::in_memory("one", roomy()), Store::in_memory("two", roomy()));
+    let (one, two) = (Store::in_memory("one", test_ledger()), Store::in_memory("two", test_ledger()));
     let (writes, received) = mpsc::channel();
     one.on_write(vec![writes]);
     for key in [POSITION, "seed/one/function/a", "function/a"] {
@@ -82,21 +82,21 @@
     let keys = |records: Vec<Record>| records.iter().map(|record| record.key.to_string()).collect::<Vec<_>>();
     assert_eq!(keys(received.try_iter().collect()), ["function/a"]);
     assert_eq!(one.digest().keys().map(|key| &**key).collect::<Vec<_>>(), ["function/a"]);
-    assert_eq!(keys(one.lacking(&two.digest(), ALL)), ["function/a"]);
+    assert_eq!(keys(one.missing_records(&two.digest(), ALL)), ["function/a"]);
     let sent =
         vec![of_peer(POSITION, 9), of_peer("seed/one/function/a", 9), of_peer("seed/peer/function/a", 9)];
     assert_eq!(two.merge(sent).expect("in memory"), 0);
-    assert!(two.get(POSITION).is_none() && two.under("seed/").is_empty());
+    assert!(two.get(POSITION).is_none() && two.records_with_prefix("seed/").is_empty());
 }
 
 #[test]
 fn seeds_of_other_nodes_in_an_old_log_are_skipped() {
     let folder = Folder::new("seeds");
-    let log = Log::open(&folder.0, roomy().account(Purpose::Log).clone(), |_| {}).expect("opens");
+    let log = Log::open(&folder.0, test_ledger().account(Purpose::Log).clone(), |_| {}).expect("opens");
     let records = ["seed/one/function/a", "seed/peer/function/a", "seed/onerous/function/a", "function/a"];
     log.append(&records.map(|key| of_peer(key, 1))).expect("appends");
     let store = open(&folder.0).expect("opens");
-    assert_eq!(store.under("seed/").len(), 1);
+    assert_eq!(store.records_with_prefix("seed/").len(), 1);
     assert!(store.get("seed/one/function/a").is_some() && store.get("function/a").is_some());
 }
 
@@ -115,7 +115,7 @@
         std::fs::write(folder.log(), &full_log[..end]).expect("written");
         let store = open(&folder.0).expect("opens");
         let position = store.get(POSITION).expect("there").text().to_string();
-        let records = store.under("function/").len();
+        let records = store.records_with_prefix("function/").len();
         assert_eq!(position == "2", end == full_log.len(), "torn at {end}");
         assert!(position == "1" || records == 4, "torn at {end}: {records} records");
     }
@@ -134,5 +134,5 @@
     let refused = store.merge_with_note(vec![of_peer("function/b", 1)], "function/note", note(2));
     assert!(matches!(refused, Err(StoreError::NotLocal(_))));
     assert_eq!(store.get(POSITION).expect("there").text(), "1");
-    assert_eq!((store.under("function/").len(), ledger.held()), (1, held));
+    assert_eq!((store.records_with_prefix("function/").len(), ledger.held()), (1, held));
 }
--- a/crates/node/src/timers.rs
+++ b/crates/node/src/timers.rs
@@ -27,7 +27,7 @@
 const MAX_PIECE_STEPS: u64 = 1 << 19;
 
 /// The duration of the next timer for a wait with `left` remaining; exceeds `left` by less than a step.
-pub fn piece(left: Duration) -> Duration {
+pub fn timer_duration(left: Duration) -> Duration {
     let steps = left.as_nanos().div_ceil(WAIT_STEP.as_nanos()).clamp(1, MAX_PIECE_STEPS.into()) as u64;
     let dropped_bits = u64::BITS.saturating_sub(steps.leading_zeros() + PIECE_LEADING_BITS);
     WAIT_STEP * ((steps >> dropped_bits) << dropped_bits) as u32
@@ -36,7 +36,7 @@
 /// The same for a sleep.
 pub fn sleep_piece(left: Duration) -> Duration {
     if left >= WAIT_STEP {
-        return piece(left);
+        return timer_duration(left);
     }
     let steps = left.as_nanos().div_ceil(SHORT_SLEEP_STEP.as_nanos()).max(1);
     SHORT_SLEEP_STEP * steps as u32
@@ -60,7 +60,7 @@
 pub fn receive<T>(receiver: &Receiver<T>, within: Duration) -> Result<T, RecvTimeoutError> {
     let end = Instant::now() + within;
     while let Some(left) = remaining_until(end) {
-        match receiver.recv_timeout(piece(left)) {
+        match receiver.recv_timeout(timer_duration(left)) {
             Err(RecvTimeoutError::Timeout) => {}
             received => return received,
         }
@@ -76,7 +76,7 @@
 pub fn wait_for_post(semaphore: &Semphore, within: Duration) -> bool {
     let end = Instant::now() + within;
     while let Some(left) = remaining_until(end) {
-        if semaphore.wait_timeout(piece(left)) {
+        if semaphore.wait_timeout(timer_duration(left)) {
             return true;
         }
     }
@@ -88,7 +88,7 @@
 pub fn wait<'a, T>(condition: &Condvar, mut guard: MutexGuard<'a, T>, within: Duration) -> MutexGuard<'a, T> {
     let end = Instant::now() + within;
     while let Some(left) = remaining_until(end) {
-        let (held, result) = match condition.wait_timeout(guard, piece(left)) {
+        let (held, result) = match condition.wait_timeout(guard, timer_duration(left)) {
             Ok(waited) => waited,
             Err(poisoned) => poisoned.into_inner(),
         };
--- a/crates/node/src/timers/tests.rs
+++ b/crates/node/src/timers/tests.rs
@@ -16,9 +16,9 @@
 fn waits_of_all_durations_use_few_timer_durations() {
     let waits_up_to_two_hours = (0..7_200_000).map(|ms| Duration::from_micros(ms * 1000 + ms % 1000));
     let durations: BTreeSet<_> =
-        waits_up_to_two_hours.flat_map(|left| [piece(left), sleep_piece(left)]).collect();
+        waits_up_to_two_hours.flat_map(|left| [timer_duration(left), sleep_piece(left)]).collect();
     let short: BTreeSet<_> = (0..2000).map(|us| sleep_piece(Duration::from_micros(us))).collect();
-    let most = [Duration::MAX, Duration::from_secs(1 << 40)].map(piece);
+    let most = [Duration::MAX, Duration::from_secs(1 << 40)].map(timer_duration);
     let all: BTreeSet<_> = durations.into_iter().chain(short).chain(most).collect();
     assert!(all.len() < MAX_TIMER_DURATIONS, "{} durations", all.len());
     assert!(all.iter().all(|duration| !duration.is_zero()));
@@ -29,8 +29,9 @@
 fn a_piece_covers_nearly_all_of_the_remaining_time() {
     for ms in 0..MAX_PIECE_STEPS {
         let left = Duration::from_millis(ms) + Duration::from_micros(1 + ms % 997);
-        let (late, missing) = (piece(left).saturating_sub(left), left.saturating_sub(piece(left)));
-        assert!(late < WAIT_STEP && missing <= left / 64, "{left:?}: {:?}", piece(left));
+        let (late, missing) =
+            (timer_duration(left).saturating_sub(left), left.saturating_sub(timer_duration(left)));
+        assert!(late < WAIT_STEP && missing <= left / 64, "{left:?}: {:?}", timer_duration(left));
     }
 }
 
--- a/crates/node/src/wire/accept.rs
+++ b/crates/node/src/wire/accept.rs
@@ -5,7 +5,7 @@
 use super::socket::Socket;
 use crate::core::{lock, monotonic_ms};
 use crate::lifecycle::spawn;
-use crate::state::clients::{ClientTable, NoneIdle};
+use crate::state::clients::{ClientTable, EvictionError};
 use crate::state::memory_wait::wait_for_memory;
 use crate::timers;
 pub use connection::{Connection, Kept, CONNECTION_BYTES};
@@ -53,9 +53,9 @@
 /// Limits for the client connections of a listener.
 pub struct ConnectionLimits {
     /// Maximum number of connections at a time.
-    pub most: usize,
+    pub max_connections: usize,
     /// A write fails if the client accepts no bytes for this long.
-    pub stall: Duration,
+    pub write_timeout: Duration,
     /// The account that the memory of connections is charged to.
     pub account: Account,
 }
@@ -85,7 +85,7 @@
     /// Listens at an address. Other processes of the same user may listen there, too.
     pub fn open(address: SocketAddr, limits: ConnectionLimits) -> std::io::Result<Arc<Self>> {
         let listener = bind(address)?;
-        let slots = Arc::new(Slots::new(limits.most));
+        let slots = Arc::new(Slots::new(limits.max_connections));
         let spare_memory = limits.account.reserve_over_cap(MAX_SPARE_SLOTS * CONNECTION_BYTES);
         Ok(Arc::new(Acceptor {
             listener,
@@ -114,7 +114,7 @@
         while !self.closed.load(Ordering::Acquire) {
             let was_empty = !self.has_queued_connection();
             let accepted =
-                self.listener.accept().and_then(|(stream, _)| Socket::new(stream, self.limits.stall));
+                self.listener.accept().and_then(|(stream, _)| Socket::new(stream, self.limits.write_timeout));
             let now = monotonic_ms();
             last_empty = if was_empty { now } else { last_empty };
             let queued_since = last_empty.max(now - MAX_QUEUED_MS);
@@ -164,7 +164,8 @@
         let end = monotonic_ms() + EMPTY_QUEUE_TIMEOUT.as_secs_f64() * 1000.0;
         for _ in 0..MAX_ACCEPTS_ON_CLOSE {
             let Ok((stream, _)) = self.listener.inner().accept() else { return };
-            let socket = stream.set_nodelay(true).and_then(|()| Socket::adopt(stream, self.limits.stall));
+            let socket =
+                stream.set_nodelay(true).and_then(|()| Socket::adopt(stream, self.limits.write_timeout));
             if let Err(error) = socket.and_then(|socket| self.admit(socket, serve, monotonic_ms(), end)) {
                 tracing::warn!(%error, "close");
                 if monotonic_ms() >= end {
@@ -190,11 +191,11 @@
     /// Shuts down before the process ends: accepts queued connections, reads and answers requests that were sent by now, and
     /// closes connections once their requests are answered. Otherwise data in kernel buffers would be lost. Waits for
     /// `within` at most.
-    pub fn wind_up(&self, within: Duration) {
+    pub fn shut_down(&self, within: Duration) {
         let end = monotonic_ms() + within.as_secs_f64() * 1000.0;
         self.close();
         self.drain();
-        while self.held() > 0 && monotonic_ms() < end {
+        while self.open_connections() > 0 && monotonic_ms() < end {
             timers::sleep(WIND_UP_POLL_INTERVAL);
             self.drain();
         }
@@ -203,7 +204,7 @@
     /// Takes over a connection that another process accepted. It ignores the limit, since its client was admitted
     /// already.
     pub fn take_over(&self, stream: TcpStream) -> std::io::Result<Arc<Connection>> {
-        let socket = Socket::adopt(stream, self.limits.stall)?;
+        let socket = Socket::adopt(stream, self.limits.write_timeout)?;
         self.slots.take_over();
         let slot = self.slot(SlotKind::Regular, self.limits.account.reserve_over_cap(CONNECTION_BYTES));
         let connection = Connection::new(socket, &self.clients, slot, monotonic_ms());
@@ -212,7 +213,7 @@
     }
 
     /// Number of open connections.
-    pub fn held(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.slots.open_connections()
     }
 
@@ -221,15 +222,15 @@
     }
 
     /// Changes the maximum number of connections. Connections beyond it are closed if they have no unanswered requests.
-    pub fn set_most(&self, most: usize) {
-        self.slots.set_limit(most);
-        for _ in most..self.held() {
+    pub fn set_max_connections(&self, max_connections: usize) {
+        self.slots.set_limit(max_connections);
+        for _ in max_connections..self.open_connections() {
             let _ = self.evict_idle(&self.clients);
         }
     }
 
     /// Closes a connection without unanswered requests and unread bytes, if there is one.
-    fn evict_idle(&self, clients: &SharedClientTable) -> Result<(), NoneIdle> {
+    fn evict_idle(&self, clients: &SharedClientTable) -> Result<(), EvictionError> {
         // Dropped after the table is unlocked, since dropping a connection locks the table.
         let mut kept_alive = Vec::new();
         let evicted = lock(clients).evict_idle(|connection| is_in_use(connection, &mut kept_alive));
@@ -270,7 +271,7 @@
             }
             let all_busy_since = *lock(&self.all_busy_since).get_or_insert(now);
             let refuse_from = all_busy_since + EVICTION_WAIT_MS;
-            if now >= refuse_from.min(until) && eviction == Err(NoneIdle::Busy) {
+            if now >= refuse_from.min(until) && eviction == Err(EvictionError::Busy) {
                 if self.slots.take_spare() {
                     return Some(self.slot(SlotKind::Spare, self.limits.account.empty_reservation()));
                 }
@@ -315,7 +316,7 @@
 /// last reference to it.
 fn is_in_use(connection: &Weak<Connection>, kept_alive: &mut Vec<Arc<Connection>>) -> bool {
     let Some(connection) = connection.upgrade() else { return false };
-    let is_in_use = connection.has_unused() || connection.is_awaiting_refused_request();
+    let is_in_use = connection.has_pending_input() || connection.is_awaiting_refused_request();
     kept_alive.push(connection);
     is_in_use
 }
--- a/crates/node/src/wire/accept/connection.rs
+++ b/crates/node/src/wire/accept/connection.rs
@@ -77,14 +77,14 @@
         self.number
     }
 
-    /// Counts a request as unanswered: the connection is not evicted until [`Connection::closed`].
-    pub fn opened(&self) {
+    /// Counts a request as unanswered: the connection is not evicted until [`Connection::request_ended`].
+    pub fn request_started(&self) {
         lock(&self.clients).opened(self.number);
         self.slots.note_change();
     }
 
     /// Counts a request as ended.
-    pub fn closed(&self) {
+    pub fn request_ended(&self) {
         if lock(&self.clients).closed(self.number, monotonic_ms()) {
             self.ended.post();
         }
@@ -96,19 +96,19 @@
     }
 
     /// Keeps the connection from being evicted while a request is handled; ends with the returned guard.
-    pub fn keep(&self) -> Kept<'_> {
-        self.opened();
+    pub fn hold_request(&self) -> Kept<'_> {
+        self.request_started();
         Kept(self)
     }
 
     /// Whether it was accepted beyond the limit, so that its requests are refused.
-    pub fn is_turned_away(&self) -> bool {
+    pub fn is_beyond_limit(&self) -> bool {
         self.kind == SlotKind::Spare
     }
 
     /// Whether it was accepted beyond the limit and its first request may still be about to be read.
     pub(super) fn is_awaiting_refused_request(&self) -> bool {
-        self.is_turned_away() && monotonic_ms() < self.admitted_at + FIRST_READ_MS
+        self.is_beyond_limit() && monotonic_ms() < self.admitted_at + FIRST_READ_MS
     }
 
     /// The earliest time at which the bytes that are read now can have arrived.
@@ -162,7 +162,7 @@
             let _ = self.answer(&bytes);
         }
         drop(forwarder);
-        self.closed();
+        self.request_ended();
     }
 
     /// Hands the connection over to the successor, unless an answer is being written. Called by the reader when no incomplete
@@ -239,6 +239,6 @@
 
 impl Drop for Kept<'_> {
     fn drop(&mut self) {
-        self.0.closed();
+        self.0.request_ended();
     }
 }
--- a/crates/node/src/wire/accept/slots.rs
+++ b/crates/node/src/wire/accept/slots.rs
@@ -1,5 +1,5 @@
 //! Counts the open connections of a listener against its limit.
-use crate::core::{lock, monotonic_ms, until};
+use crate::core::{lock, monotonic_ms, time_until};
 use crate::timers;
 use corkbay_ledger::Reservation;
 use may::sync::{Condvar, Mutex};
@@ -94,7 +94,7 @@
         let end = monotonic_ms() + within.as_secs_f64() * 1000.0;
         let mut counts = lock(&self.counts);
         while self.is_full(&counts) && monotonic_ms() < end {
-            counts = timers::wait(&self.changed, counts, until(end));
+            counts = timers::wait(&self.changed, counts, time_until(end));
         }
     }
 
--- a/crates/node/src/wire/accept/tests.rs
+++ b/crates/node/src/wire/accept/tests.rs
@@ -9,7 +9,7 @@
 }
 
 fn acceptor_within(most: usize, account: Account) -> Arc<Acceptor> {
-    let limits = ConnectionLimits { most, stall: Duration::from_secs(1), account };
+    let limits = ConnectionLimits { max_connections: most, write_timeout: Duration::from_secs(1), account };
     Acceptor::open("127.0.0.1:0".parse().expect("address"), limits).expect("a port")
 }
 
@@ -71,11 +71,11 @@
     let accepting = acceptor.clone();
     spawn(move || {
         accepting.accept(|connection| {
-            connection.opened();
-            let is_turned_away = connection.is_turned_away();
-            let _ = connection.answer(if is_turned_away { b"no room" } else { b"let in " });
+            connection.request_started();
+            let is_beyond_limit = connection.is_beyond_limit();
+            let _ = connection.answer(if is_beyond_limit { b"no room" } else { b"let in " });
             let _ = connection.read(&mut [0; 8], Duration::from_secs(5));
-            connection.closed();
+            connection.request_ended();
         });
     });
     let mut answers = Vec::new();
--- a/crates/node/src/wire/command_channel.rs
+++ b/crates/node/src/wire/command_channel.rs
@@ -111,13 +111,13 @@
             let parse_entry = |entry: Value| match Endpoint::deserialize(&entry) {
                 Ok(endpoint) => Some(endpoint.listing(last_contact_without_report)),
                 Err(error) => {
-                    invoker.counters.channel_odd.add();
+                    invoker.counters.channel_odd.increment();
                     tracing::warn!(%entry, %error, "command channel: an entry was left out");
                     None
                 }
             };
             let listings = nodes.endpoints.into_iter().filter_map(parse_entry).collect();
-            invoker.news(listings, nodes.snapshot, remembered);
+            invoker.update_roster(listings, nodes.snapshot, remembered);
         }
     }
 }
@@ -172,7 +172,7 @@
     let (mut backoff, mut contact) = (ReconnectBackoff::default(), ChannelContact::default());
     loop {
         let (cursor_before, address) = (cursor, channel.address());
-        invoker.counters.channel_calls.add();
+        invoker.counters.channel_calls.increment();
         if let Err(error) = read_events(invoker, channel, address, &mut cursor, &mut contact) {
             tracing::warn!(%error, "command channel");
         }
@@ -222,7 +222,7 @@
                 Ok(parsed) => parsed.report(invoker, contact.last_contact_without_report(), false),
                 // Requesting the event again would fail in the same way and hold up the events after it.
                 Err(error) => {
-                    invoker.counters.channel_odd.add();
+                    invoker.counters.channel_odd.increment();
                     tracing::warn!(number, %error, "command channel: an event was left out");
                 }
             }
--- a/crates/node/src/wire/feed/records/tests.rs
+++ b/crates/node/src/wire/feed/records/tests.rs
@@ -1,14 +1,14 @@
 use super::*;
 use crate::state::record::Text;
-use crate::state::roomy;
 use crate::state::store::Draft;
+use crate::state::test_ledger;
 use corkbay_feed::{BucketNumber, FeedRecord};
 
 const FUNCTION_COUNT: usize = 300;
 const MAX_PAGE_BYTES: usize = 4 << 10;
 
 fn filled_store() -> Store {
-    let store = Store::in_memory("n", roomy());
+    let store = Store::in_memory("n", test_ledger());
     for number in 0..FUNCTION_COUNT {
         let key = format!("function/{number}");
         store.put(&mut Draft::new(&key, Text::of(&number).ok())).expect("room");
--- a/crates/node/src/wire/feed/server.rs
+++ b/crates/node/src/wire/feed/server.rs
@@ -45,7 +45,7 @@
 pub fn open(address: SocketAddr, store: &Store, followers: usize) -> io::Result<Arc<Acceptor>> {
     let account = store.ledger().account(Purpose::Replication).clone();
     let most = followers + SPARE_CONNECTIONS;
-    Acceptor::open(address, ConnectionLimits { most, stall: WRITE_STALL, account })
+    Acceptor::open(address, ConnectionLimits { max_connections: most, write_timeout: WRITE_STALL, account })
 }
 
 /// Serves the configuration of a store to followers for as long as the process lives.
@@ -167,7 +167,7 @@
     /// Serves a follower's connection until it ends.
     fn serve(self: &Arc<Self>, connection: Arc<Connection>) {
         // Counted as busy for its lifetime, so that an idle follower is not evicted.
-        connection.opened();
+        connection.request_started();
         let number = SessionNumber(self.next_session.fetch_add(1, Relaxed));
         let session = Arc::new(Session::new(connection.clone()));
         {
--- a/crates/node/src/wire/framing/tests.rs
+++ b/crates/node/src/wire/framing/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
-use crate::state::roomy;
+use crate::state::test_ledger;
 use corkbay_ledger::Purpose;
 
 fn account() -> Account {
-    roomy().account(Purpose::Replication).clone()
+    test_ledger().account(Purpose::Replication).clone()
 }
 
 fn frame(account: &Account, message: &impl Serialize) -> Vec<u8> {
--- a/crates/node/src/wire/http_workers.rs
+++ b/crates/node/src/wire/http_workers.rs
@@ -6,7 +6,8 @@
 use super::socket::Socket;
 use super::workers::{unanswered_error, PARTIAL_MESSAGE_TIMEOUT};
 use crate::core::{
-    lock, monotonic_ms, until, AttemptError, Call, CancelNotice, Cause, Ending, Exchange, Verdict, Workers,
+    lock, monotonic_ms, time_until, AbortReason, AttemptError, Call, CancelNotice, Exchange, OnAttemptEnd,
+    WorkerRefusal, Workers,
 };
 use crate::lifecycle::spawn;
 use crate::state::exchanges::ConnectionExchanges;
@@ -63,7 +64,7 @@
 
 /// One attempt, shared by its task and its [`HttpExchange`].
 struct Attempt {
-    exchanges: Mutex<ConnectionExchanges<Ending>>,
+    exchanges: Mutex<ConnectionExchanges<OnAttemptEnd>>,
     id: u64,
     /// Shut down when the attempt is given up.
     socket: Mutex<Option<Arc<Socket>>>,
@@ -107,7 +108,7 @@
         call: &Arc<Call>,
         expires: Ms,
         send_by: Ms,
-        end: Ending,
+        end: OnAttemptEnd,
     ) -> Box<dyn Exchange> {
         let id = call.request.id.0;
         let attempt = Arc::new(Attempt {
@@ -130,7 +131,7 @@
         let is_full = self.in_flight.fetch_add(1, Ordering::Relaxed) >= self.limits.connections;
         let (Ok(held), false) = (held, is_full) else {
             self.in_flight.fetch_sub(1, Ordering::Relaxed);
-            attempt.settle(Err(AttemptError::Unfinished(Cause::Barred)));
+            attempt.settle(Err(AttemptError::NotFullySent(AbortReason::SendNotAllowed)));
             return Box::new(exchange);
         };
         let receive_buffer = ReceiveBuffer::new(&self.account, Purpose::Workers);
@@ -147,17 +148,17 @@
 
     /// Always fails: HTTP workers load models by themselves and accept no load orders.
     fn load(&self, _: &Arc<Host>, _: ModelId, _: u32, _: Ms, _: Duration) -> (Result<(), AttemptError>, u32) {
-        (Err(AttemptError::Answered(Verdict::Failed)), 0)
+        (Err(AttemptError::Answered(WorkerRefusal::Failed)), 0)
     }
 
     fn evict(&self, _: &Arc<Host>, _: ModelId) {}
 
     fn probe(&self, host: &Arc<Host>, within: Duration) -> Result<(), AttemptError> {
         if host.suspended() {
-            return Err(AttemptError::Unfinished(Cause::Barred));
+            return Err(AttemptError::NotFullySent(AbortReason::SendNotAllowed));
         }
-        let connected = TcpStream::connect_timeout(&host.address, timers::piece(within));
-        connected.map(drop).map_err(|_| AttemptError::Unconnected)
+        let connected = TcpStream::connect_timeout(&host.address, timers::timer_duration(within));
+        connected.map(drop).map_err(|_| AttemptError::ConnectFailed)
     }
 }
 
@@ -169,7 +170,7 @@
         self.1.fetch_sub(1, Ordering::Relaxed);
         let open = lock(&self.0.exchanges).close();
         for (stage, end) in open {
-            end(Err(unanswered_error(stage, Cause::Broken)));
+            end(Err(unanswered_error(stage, AbortReason::ConnectionLost)));
         }
     }
 }
@@ -195,25 +196,26 @@
     ) -> Result<Vec<u8>, AttemptError> {
         let socket = self.connect(host, limits.connect)?;
         if host.is_blocked() || monotonic_ms() > send_by {
-            return Err(AttemptError::Unfinished(Cause::Barred));
+            return Err(AttemptError::NotFullySent(AbortReason::SendNotAllowed));
         }
         if !lock(&self.exchanges).begin(self.id) {
-            return Err(AttemptError::Unfinished(Cause::GivenUp));
+            return Err(AttemptError::NotFullySent(AbortReason::Cancelled));
         }
         let request = post(host, call, expires, style);
-        socket.write(&request).map_err(|_| AttemptError::Unfinished(Cause::Broken))?;
+        socket.write(&request).map_err(|_| AttemptError::NotFullySent(AbortReason::ConnectionLost))?;
         lock(&self.exchanges).mark_written(self.id);
         let mut response = receive(&socket, expires, &mut receive_buffer, limits.answer)
             .map_err(|e| AttemptError::Unanswered(cause(&e)))?;
         drop(socket);
         while let Some(location) = collect_location(&response, style) {
             if lock(&self.exchanges).is_closed() {
-                return Err(AttemptError::Unanswered(Cause::GivenUp));
+                return Err(AttemptError::Unanswered(AbortReason::Cancelled));
             }
             *lock(&self.location) = Some(location.clone());
-            let wait = until(expires).min(COLLECT_WAIT);
-            let socket =
-                self.connect(host, limits.connect).map_err(|_| AttemptError::Unanswered(Cause::Broken))?;
+            let wait = time_until(expires).min(COLLECT_WAIT);
+            let socket = self
+                .connect(host, limits.connect)
+                .map_err(|_| AttemptError::Unanswered(AbortReason::ConnectionLost))?;
             let request = format!(
                 "GET {location} HTTP/1.1\r\nHost: {}\r\nPrefer: wait={}\r\nConnection: close\r\n\r\n",
                 host.address,
@@ -233,14 +235,14 @@
 
     fn connect(&self, host: &Host, within: Duration) -> Result<Arc<Socket>, AttemptError> {
         let socket = Socket::connect(&host.address, within, WRITE_STALL);
-        let socket = socket.map(Arc::new).map_err(|_| AttemptError::Unconnected)?;
+        let socket = socket.map(Arc::new).map_err(|_| AttemptError::ConnectFailed)?;
         *lock(&self.socket) = Some(socket.clone());
         Ok(socket)
     }
 }
 
 impl Exchange for HttpExchange {
-    fn give_up(&mut self, cause: Cause) -> Option<AttemptError> {
+    fn cancel(&mut self, cause: AbortReason) -> Option<AttemptError> {
         let (stage, _) = {
             let mut exchanges = lock(&self.attempt.exchanges);
             let given_up = exchanges.give_up(self.attempt.id)?;
@@ -285,10 +287,10 @@
     }
 }
 
-fn cause(error: &io::Error) -> Cause {
+fn cause(error: &io::Error) -> AbortReason {
     match error.kind() {
-        io::ErrorKind::TimedOut | io::ErrorKind::WouldBlock => Cause::Silent,
-        _ => Cause::Broken,
+        io::ErrorKind::TimedOut | io::ErrorKind::WouldBlock => AbortReason::TimedOut,
+        _ => AbortReason::ConnectionLost,
     }
 }
 
@@ -298,7 +300,7 @@
         call.function,
         host.address,
         call.body.len(),
-        until(expires).as_millis().max(1),
+        time_until(expires).as_millis().max(1),
     );
     if let Some(key) = &call.key {
         head.push_str(&format!("Idempotency-Key: {key}\r\n"));
@@ -326,7 +328,7 @@
         let size = receive_buffer.fill(
             socket,
             &mut chunk,
-            if has_begun { PARTIAL_MESSAGE_TIMEOUT } else { until(expires) },
+            if has_begun { PARTIAL_MESSAGE_TIMEOUT } else { time_until(expires) },
         )?;
         has_begun = true;
         Ok::<_, io::Error>(size)
@@ -362,10 +364,10 @@
     let not_run = response.head.headers.get(MAY_HAVE_RUN_HEADER) == Some("false");
     match response.head.status {
         200 => Ok(response.body),
-        404 if not_run => Err(AttemptError::Answered(Verdict::Miss)),
-        410 if not_run => Err(AttemptError::Answered(Verdict::Over)),
-        _ if not_run => Err(AttemptError::Answered(Verdict::Full)),
-        _ => Err(AttemptError::Answered(Verdict::Failed)),
+        404 if not_run => Err(AttemptError::Answered(WorkerRefusal::NotLoaded)),
+        410 if not_run => Err(AttemptError::Answered(WorkerRefusal::RequestEnded)),
+        _ if not_run => Err(AttemptError::Answered(WorkerRefusal::Full)),
+        _ => Err(AttemptError::Answered(WorkerRefusal::Failed)),
     }
 }
 
--- a/crates/node/src/wire/http_workers/tests.rs
+++ b/crates/node/src/wire/http_workers/tests.rs
@@ -6,7 +6,7 @@
 fn an_attempt_that_ends_while_it_is_written_may_have_run() {
     let (sender, end) = std::sync::mpsc::channel();
     let mut exchanges = ConnectionExchanges::new(1);
-    assert!(exchanges.open(1, Box::new(move |end| _ = sender.send(end)) as Ending).is_ok());
+    assert!(exchanges.open(1, Box::new(move |end| _ = sender.send(end)) as OnAttemptEnd).is_ok());
     assert!(exchanges.begin(1));
     let attempt = Attempt {
         exchanges: Mutex::new(exchanges),
@@ -15,5 +15,5 @@
         location: Mutex::default(),
     };
     drop(EndGuard(Arc::new(attempt), Arc::new(AtomicUsize::new(1))));
-    assert_eq!(end.recv(), Ok(Err(AttemptError::Unanswered(Cause::Broken))));
+    assert_eq!(end.recv(), Ok(Err(AttemptError::Unanswered(AbortReason::ConnectionLost))));
 }
--- a/crates/node/src/wire/invoke.rs
+++ b/crates/node/src/wire/invoke.rs
@@ -178,8 +178,8 @@
         if !wait_for_answer(connection, &mut receive_buffer, chunk, current, true)? {
             return Err(ErrorKind::BrokenPipe.into());
         }
-        let request_guard = connection.keep();
-        head.keep_alive &= !connection.is_turned_away();
+        let request_guard = connection.hold_request();
+        head.keep_alive &= !connection.is_beyond_limit();
         match route(api, &head, body, connection) {
             RouteResult::Respond(response) => connection.answer(&response.encode(head.keep_alive))?,
             RouteResult::Counted(response, held) => {
@@ -230,7 +230,7 @@
         }
         let room = CHUNK.saturating_sub(pipelined.bytes().len());
         if room == 0 {
-            if connection.is_hung_up() {
+            if connection.is_closed_by_peer() {
                 handle_end_of_input(connection)?;
             }
             timers::sleep(ANSWER_POLL_INTERVAL);
--- a/crates/node/src/wire/invoke/calls.rs
+++ b/crates/node/src/wire/invoke/calls.rs
@@ -1,10 +1,10 @@
 //! Calls of the invoke API in both styles: admission, execution and lookup.
 use super::responses::{accepted, answer_response, problem, refused, store_failure};
 use super::{Current, InvokeApi, RouteResult, DEADLINE_HEADER};
-use crate::core::{monotonic_ms, Answer, Call, Failure, NotTaken, Taken, UnixTime};
+use crate::core::{monotonic_ms, AcceptedRequest, AdmissionError, Answer, Call, Failure, UnixTime};
 use crate::lifecycle::spawn;
 use crate::state::catalog::Function;
-use crate::state::invocations::{Deferred, Key, Promise, Repeat, Rerun};
+use crate::state::invocations::{AcceptedCall, Deferred, Key, Repeat, Rerun};
 use crate::wire::accept::Connection;
 use crate::wire::http::{RequestHead, Response};
 use corkbay::{position, Effect, Ms, Request, RequestId};
@@ -30,10 +30,10 @@
 
 /// A call that is to be run.
 pub(super) struct Job {
-    taken: Taken,
+    accepted: AcceptedRequest,
     key: Option<Key>,
     /// For a deferred call: the record that its answer is written to.
-    promise: Option<Promise>,
+    accepted_call: Option<AcceptedCall>,
 }
 
 /// Validated options of a call, from its headers and the settings of its class.
@@ -88,7 +88,7 @@
         let class = position(&invoker.names.classes, &function.class).ok_or_else(|| {
             problem(404, "unknown-class", "the function's class is not configured on this node", Some(false))
         })?;
-        let expires = invoker.came_at() + deadline_span(head, self.catalog.give_up(class))?;
+        let expires = invoker.earliest_arrival() + deadline_span(head, self.catalog.give_up(class))?;
         let (key, window) = match invoker.settings.classes[class].effect {
             Effect::Keyed(_, window) => (Some((name.to_string(), key_of(head)?)), window),
             _ => (None, 0.0),
@@ -167,22 +167,27 @@
             key: key_text,
             body,
         };
-        let taken = self.invoker.take(call).map_err(|refusal| not_accepted(&refusal))?;
-        let store_promise = |deferred| self.invocations.accept(options.id, deferred, options.tenant);
-        let promise = deferred.map(store_promise).transpose().map_err(|error| store_failure(&error))?;
-        Ok(Admitted::Run(Box::new(Job { taken, key: options.key, promise })))
+        let accepted = self.invoker.accept(call).map_err(|refusal| not_accepted(&refusal))?;
+        let store_call = |deferred| self.invocations.accept(options.id, deferred, options.tenant);
+        let accepted_call = deferred.map(store_call).transpose().map_err(|error| store_failure(&error))?;
+        Ok(Admitted::Run(Box::new(Job { accepted, key: options.key, accepted_call })))
     }
 
     /// Runs a call to its final answer, whatever its style.
-    fn run(&self, taken: &Taken, key: Option<&Key>, promise: Option<Promise>) -> Answer {
-        let answer = self.serve(taken, key);
-        self.invocations.finish(taken.call().request.id, key, &answer, promise);
+    fn run(
+        &self,
+        accepted: &AcceptedRequest,
+        key: Option<&Key>,
+        accepted_call: Option<AcceptedCall>,
+    ) -> Answer {
+        let answer = self.serve(accepted, key);
+        self.invocations.finish(accepted.call().request.id, key, &answer, accepted_call);
         answer
     }
 
     /// Serves a call and counts its answer.
-    pub(super) fn serve(&self, taken: &Taken, key: Option<&Key>) -> Answer {
-        let answer = catch_unwind(AssertUnwindSafe(|| taken.serve()))
+    pub(super) fn serve(&self, accepted: &AcceptedRequest, key: Option<&Key>) -> Answer {
+        let answer = catch_unwind(AssertUnwindSafe(|| accepted.serve()))
             .unwrap_or(Answer::Failed(Failure { may_have_run: true, late: false }));
         let answer = match answer {
             // A retry is harmless only while the workers remember the key, and the client may retry after that.
@@ -201,20 +206,20 @@
         connection: &Arc<Connection>,
     ) -> RouteResult {
         let (api, connection) = (self.clone(), connection.clone());
-        let (id, is_deferred) = (job.taken.call().request.id, job.promise.is_some());
+        let (id, is_deferred) = (job.accepted.call().request.id, job.accepted_call.is_some());
         if !is_deferred {
-            connection.opened();
+            connection.request_started();
         }
         let task = spawn(move || {
-            let Job { taken, key, promise } = *job;
-            let answer = api.run(&taken, key.as_ref(), promise);
+            let Job { accepted, key, accepted_call } = *job;
+            let answer = api.run(&accepted, key.as_ref(), accepted_call);
             if is_deferred {
                 return true;
             }
             let is_withdrawn = answer == Answer::Withdrawn;
             let written =
                 is_withdrawn || connection.answer(&answer_response(&answer).encode(keep_alive)).is_ok();
-            connection.closed();
+            connection.request_ended();
             if !keep_alive {
                 // Only the writing side is shut down: closing while the client still sends would reset the
                 // connection, and the client could lose the response.
@@ -283,10 +288,10 @@
 }
 
 /// The response to a call that the invoker did not accept.
-fn not_accepted(refusal: &NotTaken) -> Response {
+fn not_accepted(refusal: &AdmissionError) -> Response {
     match refusal {
-        NotTaken::Draining => refused("this node is about to end", Some(ENDING_RETRY_AFTER_MS)),
-        NotTaken::Crowded(span) => refused("there is no room for another call", Some(*span)),
-        NotTaken::Open => refused("a call with this id is already in progress", None),
+        AdmissionError::Draining => refused("this node is about to end", Some(ENDING_RETRY_AFTER_MS)),
+        AdmissionError::Overloaded(span) => refused("there is no room for another call", Some(*span)),
+        AdmissionError::DuplicateId => refused("a call with this id is already in progress", None),
     }
 }
--- a/crates/node/src/wire/invoke/resume.rs
+++ b/crates/node/src/wire/invoke/resume.rs
@@ -1,8 +1,8 @@
 //! Resumes deferred calls that an earlier process accepted and did not finish, if their class may be repeated.
 use super::InvokeApi;
-use crate::core::{monotonic_ms, Answer, Call, Failure, NotTaken, Taken};
+use crate::core::{monotonic_ms, AcceptedRequest, AdmissionError, Answer, Call, Failure};
 use crate::lifecycle::spawn;
-use crate::state::invocations::{Deferred, Promise, Resumable};
+use crate::state::invocations::{AcceptedCall, Deferred, Resumable};
 use crate::timers;
 use corkbay::{position, Effect, Request};
 use std::sync::Arc;
@@ -25,18 +25,18 @@
     }
 
     fn resume_one(self: &Arc<Self>, Resumable { id, deferred, rerun }: Resumable) {
-        let (promise, expires) = (self.invocations.promise_again(&deferred), rerun.expires());
+        let (accepted_call, expires) = (self.invocations.accept_again(&deferred), rerun.expires());
         let Some(call) =
             self.call_again(&deferred, Request { id, expires, ..Request::default() }, rerun.body)
         else {
-            return self.fail_resumed(&deferred, promise, id, false);
+            return self.fail_resumed(&deferred, accepted_call, id, false);
         };
         match self.accept_again(call) {
-            Some(taken) => {
+            Some(accepted) => {
                 let api = self.clone();
-                spawn(move || api.run_accepted(&taken, promise));
+                spawn(move || api.run_accepted(&accepted, accepted_call));
             }
-            None => self.fail_resumed(&deferred, promise, id, true),
+            None => self.fail_resumed(&deferred, accepted_call, id, true),
         }
     }
 
@@ -62,19 +62,19 @@
 
     /// Submits the call until there is room for it; none when its deadline passes first, or when it can't be
     /// accepted.
-    fn accept_again(&self, call: Call) -> Option<Taken> {
+    fn accept_again(&self, call: Call) -> Option<AcceptedRequest> {
         while monotonic_ms() < call.request.expires {
-            match self.invoker.take(call.clone()) {
-                Ok(taken) => return Some(taken),
-                Err(NotTaken::Crowded(_)) => timers::sleep(FULL_RETRY_PAUSE),
-                Err(NotTaken::Open | NotTaken::Draining) => return None,
+            match self.invoker.accept(call.clone()) {
+                Ok(accepted) => return Some(accepted),
+                Err(AdmissionError::Overloaded(_)) => timers::sleep(FULL_RETRY_PAUSE),
+                Err(AdmissionError::DuplicateId | AdmissionError::Draining) => return None,
             }
         }
         None
     }
 
-    fn run_accepted(&self, taken: &Taken, promise: Promise) {
-        let answer = match self.serve(taken, None) {
+    fn run_accepted(&self, accepted: &AcceptedRequest, accepted_call: AcceptedCall) {
+        let answer = match self.serve(accepted, None) {
             // An attempt of the earlier process may have run.
             Answer::Refused { retry_after, known } => {
                 Answer::Refused { retry_after, known: Failure { may_have_run: true, ..known } }
@@ -82,12 +82,18 @@
             Answer::Failed(known) => Answer::Failed(Failure { may_have_run: true, ..known }),
             answer => answer,
         };
-        self.invocations.finish(taken.call().request.id, None, &answer, Some(promise));
+        self.invocations.finish(accepted.call().request.id, None, &answer, Some(accepted_call));
     }
 
-    fn fail_resumed(&self, deferred: &Deferred, promise: Promise, id: corkbay::RequestId, late: bool) {
+    fn fail_resumed(
+        &self,
+        deferred: &Deferred,
+        accepted_call: AcceptedCall,
+        id: corkbay::RequestId,
+        late: bool,
+    ) {
         tracing::info!(function = %deferred.function, late, "a deferred call can't be run again");
         let answer = Answer::Failed(Failure { may_have_run: true, late });
-        self.invocations.finish(id, None, &answer, Some(promise));
+        self.invocations.finish(id, None, &answer, Some(accepted_call));
     }
 }
--- a/crates/node/src/wire/invoke/routes.rs
+++ b/crates/node/src/wire/invoke/routes.rs
@@ -34,8 +34,8 @@
         return RouteResult::Respond(read_only_response(&read_only));
     }
     RouteResult::Respond(match (head.method.as_str(), segments.as_slice()) {
-        ("POST", ["v1", "functions", _, "invocations"]) if connection.is_turned_away() => {
-            api.invoker.counters.turned_away.add();
+        ("POST", ["v1", "functions", _, "invocations"]) if connection.is_beyond_limit() => {
+            api.invoker.counters.turned_away.increment();
             refused("there is no room for another connection", Some(CROWDED_RETRY_AFTER_MS))
         }
         ("POST", ["v1", "functions", function, "invocations"]) => {
--- a/crates/node/src/wire/metrics.rs
+++ b/crates/node/src/wire/metrics.rs
@@ -26,7 +26,7 @@
         })
     };
     let mut status = json!({
-        "owed": invoker.owed(),
+        "owed": invoker.unanswered(),
         "counters": invoker.counters.named().map(|(name, count)| (name, count.into())).collect::<Map<_, _>>(),
         "memory": {
             "resident_bytes": resident,
--- a/crates/node/src/wire/operators.rs
+++ b/crates/node/src/wire/operators.rs
@@ -3,7 +3,7 @@
 use super::accept::Connection;
 use super::http::{HttpError, RequestHead, Response};
 use super::receive_buffer::{ReceiveBuffer, CHUNK};
-use crate::core::{monotonic_ms, until, Invoker};
+use crate::core::{monotonic_ms, time_until, Invoker};
 use crate::lifecycle::handover::{CommandError, OperatorCommand, OverridesHandle};
 use corkbay::Ms;
 use corkbay_duty::Leave;
@@ -53,7 +53,7 @@
 pub fn serve(invoker: &Arc<Invoker>, overrides: &OverridesHandle, connection: &Arc<Connection>) {
     let Some(response) = serve_call(invoker, overrides, connection) else { return };
     let counters = &invoker.counters;
-    if response.status < 300 { &counters.operators_yes } else { &counters.operators_no }.add();
+    if response.status < 300 { &counters.operators_yes } else { &counters.operators_no }.increment();
     if connection.answer(&response.encode(false)).is_ok() {
         connection.linger(LINGER);
     }
@@ -69,11 +69,14 @@
     let (mut receive_buffer, mut chunk) =
         (ReceiveBuffer::new(connection.account(), Purpose::Operators), vec![0; CHUNK]);
     let end = monotonic_ms() + REQUEST_TIMEOUT_MS;
-    let mut fill =
-        |receive_buffer: &mut ReceiveBuffer| match receive_buffer.fill(connection, &mut chunk, until(end)) {
-            Ok(1..) if monotonic_ms() < end => Some(()),
-            _ => None,
-        };
+    let mut fill = |receive_buffer: &mut ReceiveBuffer| match receive_buffer.fill(
+        connection,
+        &mut chunk,
+        time_until(end),
+    ) {
+        Ok(1..) if monotonic_ms() < end => Some(()),
+        _ => None,
+    };
     let mut head = loop {
         match RequestHead::decode(receive_buffer.bytes()) {
             Ok(Some(head)) => break head,
@@ -100,7 +103,7 @@
                 }
             };
             let [yes, no] = &invoker.counters.operators[call.counter_index()];
-            if status < 300 { yes } else { no }.add();
+            if status < 300 { yes } else { no }.increment();
             Response::new(status, "application/json", body_json.to_string().into_bytes())
         }
         Err(response) => response,
--- a/crates/node/src/wire/record_index/tests.rs
+++ b/crates/node/src/wire/record_index/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::state::record::Text;
-use crate::state::roomy;
 use crate::state::store::Draft;
+use crate::state::test_ledger;
 use proptest::prelude::*;
 
 fn record(key: &str, version: u64, expires: f64) -> Record {
@@ -17,7 +17,7 @@
 }
 
 fn index_of(records: &[Record]) -> RecordIndex {
-    let mut index = RecordIndex::new(Scope::Shared, roomy());
+    let mut index = RecordIndex::new(Scope::Shared, test_ledger());
     records.iter().for_each(|record| index.note(record));
     index
 }
@@ -44,7 +44,7 @@
 /// they agree.
 #[test]
 fn expired_records_are_excluded() {
-    let ledger = roomy();
+    let ledger = test_ledger();
     let mut index = RecordIndex::new(Scope::Shared, ledger.clone());
     let empty = index.root();
     index.note(&record("invocation/1", 1, 500.0));
@@ -67,7 +67,7 @@
 
 #[test]
 fn an_index_of_a_store_covers_its_records_and_later_changes() {
-    let store = Store::in_memory("n", roomy());
+    let store = Store::in_memory("n", test_ledger());
     store.put(&mut Draft::new("function/a", Text::of(&1).ok())).expect("room");
     store.put(&mut Draft::new("function/b", None)).expect("a tombstone");
     let (mut index, changes) = RecordIndex::of_store(Scope::Configuration, &store);
--- a/crates/node/src/wire/replication.rs
+++ b/crates/node/src/wire/replication.rs
@@ -35,7 +35,11 @@
     let account = store.ledger().account(Purpose::Replication).clone();
     Acceptor::open(
         address,
-        ConnectionLimits { most: peers + MAX_OTHER_CONNECTIONS, stall: STALL_TIMEOUT, account },
+        ConnectionLimits {
+            max_connections: peers + MAX_OTHER_CONNECTIONS,
+            write_timeout: STALL_TIMEOUT,
+            account,
+        },
     )
 }
 
@@ -67,7 +71,7 @@
     spawn(move || {
         acceptor.accept(move |connection| {
             // Counted as busy for its lifetime, so that an idle peer connection is not evicted.
-            connection.opened();
+            connection.request_started();
             if let Err(error) = server::serve(&mesh, &connection) {
                 tracing::warn!(%error, "replication: a caller");
             }
--- a/crates/node/src/wire/replication/client.rs
+++ b/crates/node/src/wire/replication/client.rs
@@ -122,7 +122,7 @@
 
     /// The connection to the peer; reconnects if there is none or the peer has closed it.
     fn connection(&mut self) -> Result<&mut PeerConnection, ReplicationError> {
-        let reusable = self.connection.take().filter(|connection| !connection.socket.is_hung_up());
+        let reusable = self.connection.take().filter(|connection| !connection.socket.is_closed_by_peer());
         let connection = match reusable {
             Some(connection) => connection,
             None => PeerConnection::open(&self.mesh, &self.peer)?,
--- a/crates/node/src/wire/socket.rs
+++ b/crates/node/src/wire/socket.rs
@@ -62,7 +62,7 @@
 
     /// Waits until data can be read, for `within` at most.
     fn wait(&self, within: Duration) -> io::Result<()> {
-        let (within, byte) = (Some(timers::piece(within)), &mut [0; 1]);
+        let (within, byte) = (Some(timers::timer_duration(within)), &mut [0; 1]);
         match self {
             Stream::Own(stream) => stream.set_read_timeout(within).and_then(|()| stream.peek(byte)),
             Stream::Adopted(stream) => {
@@ -111,7 +111,7 @@
     }
 
     /// Whether the peer has closed its writing side, even if bytes that it sent before are still unread.
-    pub fn is_hung_up(&self) -> bool {
+    pub fn is_closed_by_peer(&self) -> bool {
         let at_once = Timespec { tv_sec: 0, tv_nsec: 0 };
         let mut poll_fds = [PollFd::new(self.stream.inner(), PollFlags::RDHUP)];
         poll(&mut poll_fds, Some(&at_once)).is_ok_and(|ready| ready > 0)
@@ -123,7 +123,7 @@
     }
 
     /// Whether received bytes wait to be read, or the reader is processing what it read.
-    pub fn has_unused(&self) -> bool {
+    pub fn has_pending_input(&self) -> bool {
         // The order matters: a reader that takes the bytes between the two checks has cleared `reader_waits` before.
         self.has_unread() || !self.reader_waits.load(Ordering::SeqCst)
     }
@@ -135,7 +135,7 @@
 
     /// Connects to an address, for `within` at most.
     pub fn connect(address: &SocketAddr, within: Duration, stall: Duration) -> io::Result<Self> {
-        Socket::new(TcpStream::connect_timeout(address, timers::piece(within))?, stall)
+        Socket::new(TcpStream::connect_timeout(address, timers::timer_duration(within))?, stall)
     }
 
     /// Reads received bytes, or waits for some; [`ErrorKind::TimedOut`] when none arrive within the given time.
--- a/crates/node/src/wire/thrift_front.rs
+++ b/crates/node/src/wire/thrift_front.rs
@@ -3,7 +3,7 @@
 use super::connection_handover::{HandoverSender, ReceivedConnection};
 use super::receive_buffer::{ReceiveBuffer, CHUNK};
 use super::thrift::{self, Fields, Malformed, Message, Reply};
-use crate::core::{lock, monotonic_ms, until, Answer, Call, Failure, Invoker, NotTaken};
+use crate::core::{lock, monotonic_ms, time_until, AdmissionError, Answer, Call, Failure, Invoker};
 use crate::lifecycle::spawn;
 use crate::state::clients::ClientState;
 use crate::timers;
@@ -88,8 +88,8 @@
 ) -> impl ReceivedConnection {
     let open_requests: OpenRequests =
         Arc::new(Mutex::new(unanswered.iter().map(|seqid| (*seqid, Responder::Predecessor)).collect()));
-    unanswered.iter().for_each(|_| connection.opened());
-    invoker.counters.taken_over.add();
+    unanswered.iter().for_each(|_| connection.request_started());
+    invoker.counters.taken_over.increment();
     let taken_over =
         TakenOverConnection { connection: Arc::downgrade(&connection), open_requests: open_requests.clone() };
     let (invoker, handover) = (invoker.clone(), handover.clone());
@@ -107,13 +107,13 @@
         WithdrawOnDrop { invoker: invoker.clone(), open_requests: open_requests.clone(), handed_over: false };
     match read_messages(invoker, handover, connection, &open_requests) {
         Ok(ReadEnd::HandedOver) => {
-            invoker.counters.passed_on.add();
+            invoker.counters.passed_on.increment();
             withdraw_on_drop.handed_over = true;
             return;
         }
         Ok(ReadEnd::Closed) => {}
         Err(malformed) => {
-            invoker.counters.malformed.add();
+            invoker.counters.malformed.increment();
             tracing::info!(%malformed, "client connection closed");
         }
     }
@@ -192,7 +192,7 @@
                 return Ok(ReadEnd::HandedOver);
             }
             let (state, since) = connection.state();
-            if connection.is_turned_away() && state == ClientState::Idle && !connection.has_unread() {
+            if connection.is_beyond_limit() && state == ClientState::Idle && !connection.has_unread() {
                 return Ok(ReadEnd::Closed);
             }
             let end = match state {
@@ -202,13 +202,13 @@
                 ClientState::Busy => monotonic_ms() + UNANSWERED_TIMEOUT_MS,
                 _ if !buffer.is_empty() => message_began + MESSAGE_TIMEOUT_MS,
                 ClientState::Idle => since + IDLE_TIMEOUT_MS,
-                ClientState::Silent => since + UNANSWERED_TIMEOUT_MS,
+                ClientState::NeverAnswered => since + UNANSWERED_TIMEOUT_MS,
             };
             if connection.is_draining() && invoker.serving_state().ends(monotonic_ms(), last_request) {
                 local_request_ids(open_requests).into_iter().for_each(|id| invoker.end(id));
             }
             let was_empty = buffer.is_empty();
-            match buffer.fill(connection, &mut chunk, until(end)) {
+            match buffer.fill(connection, &mut chunk, time_until(end)) {
                 // The read side was shut down by this process. Bytes that were sent before are still read, and the
                 // connection is closed once all requests are answered.
                 Ok(0) if connection.is_shut() => {
@@ -260,7 +260,7 @@
                     // The other process completes the call; its answer is discarded here.
                     Some(Responder::Predecessor) => {
                         lock(open_requests).remove(&seqid);
-                        connection.closed();
+                        connection.request_ended();
                     }
                     None => {}
                 }
@@ -284,7 +284,7 @@
             },
         };
         if let Err(what) = result {
-            invoker.counters.malformed.add();
+            invoker.counters.malformed.increment();
             malformed_messages += 1;
             if malformed_messages <= MAX_LOGGED_MALFORMED {
                 tracing::info!(what, "message turned down");
@@ -311,9 +311,9 @@
     body: Vec<u8>,
 ) -> Result<(), &'static str> {
     let reply_now = |reply| write(connection, &thrift::reply("dispatch", seqid, reply));
-    let _open_guard = connection.keep();
-    if connection.is_turned_away() {
-        invoker.counters.turned_away.add();
+    let _open_guard = connection.hold_request();
+    if connection.is_beyond_limit() {
+        invoker.counters.turned_away.increment();
         reply_now(rejected(OVERLOAD_RETRY_AFTER_MS));
         return Ok(());
     }
@@ -321,23 +321,23 @@
         reply_now(rejected(OVERLOAD_RETRY_AFTER_MS));
         return Ok(());
     }
-    let arrived_at = invoker.came_at().min(connection.earliest_arrival());
+    let arrived_at = invoker.earliest_arrival().min(connection.earliest_arrival());
     let accepted = parse_call(invoker, arrived_at, fields, body).map(|call| {
         let id = call.request.id;
-        let accepted = invoker.take(call);
+        let accepted = invoker.accept(call);
         if accepted.is_ok() {
             lock(open_requests).insert(seqid, Responder::Local(id));
         }
         accepted
     });
     match accepted {
-        Ok(Err(NotTaken::Draining)) => reply_now(rejected(DRAINING_RETRY_AFTER_MS)),
-        Ok(Err(NotTaken::Crowded(retry_after_ms))) => {
+        Ok(Err(AdmissionError::Draining)) => reply_now(rejected(DRAINING_RETRY_AFTER_MS)),
+        Ok(Err(AdmissionError::Overloaded(retry_after_ms))) => {
             reply_now(rejected(retry_after_ms.max(OVERLOAD_RETRY_AFTER_MS)))
         }
-        Ok(Err(NotTaken::Open)) => reply_now(crashed("the request is open already")),
+        Ok(Err(AdmissionError::DuplicateId)) => reply_now(crashed("the request is open already")),
         Ok(Ok(accepted)) => {
-            connection.opened();
+            connection.request_started();
             let (invoker, open_requests, connection) =
                 (invoker.clone(), open_requests.clone(), connection.clone());
             spawn(move || {
--- a/crates/node/src/wire/workers.rs
+++ b/crates/node/src/wire/workers.rs
@@ -4,9 +4,11 @@
 
 use super::frames::{code, Frame};
 use super::receive_buffer::ReceiveBuffer;
-use crate::core::{lock, AttemptError, Call, CancelNotice, Cause, Ending, Exchange, Verdict, Workers};
+use crate::core::{
+    lock, AbortReason, AttemptError, Call, CancelNotice, Exchange, OnAttemptEnd, WorkerRefusal, Workers,
+};
 use crate::lifecycle::spawn;
-use crate::state::counters::Dials;
+use crate::state::counters::ConnectionAttempts;
 use crate::state::exchanges::Stage;
 use crate::state::roster::Host;
 use crate::timers;
@@ -70,7 +72,7 @@
     /// Maximum number of connections to all workers together.
     max_connections: AtomicUsize,
     next_order_id: AtomicU64,
-    dials: Arc<Dials>,
+    connection_attempts: Arc<ConnectionAttempts>,
 }
 
 struct FrameExchange {
@@ -91,13 +93,13 @@
             evicting: Arc::new(AtomicUsize::new(0)),
             max_connections: AtomicUsize::new(limits.connections),
             next_order_id: AtomicU64::new(1 << 62),
-            dials: Arc::default(),
+            connection_attempts: Arc::default(),
         }
     }
 
     /// Sets the maximum number of connections. Connections beyond it are closed when they are idle.
-    pub fn set_most(&self, most: usize) {
-        self.max_connections.store(most, Ordering::Relaxed);
+    pub fn set_max_connections(&self, max_connections: usize) {
+        self.max_connections.store(max_connections, Ordering::Relaxed);
     }
 
     /// Queues a frame on a connection to the host; opens a connection where no healthy one has a free exchange, and
@@ -113,7 +115,9 @@
     ) -> Option<Arc<Connection>> {
         let expects_answer = waiter.is_some();
         let fail_barred = |waiter: Option<Waiter>| {
-            waiter.into_iter().for_each(|waiter| waiter(Err(AttemptError::Unfinished(Cause::Barred))));
+            waiter
+                .into_iter()
+                .for_each(|waiter| waiter(Err(AttemptError::NotFullySent(AbortReason::SendNotAllowed))));
         };
         if recipients.excludes(host) {
             fail_barred(waiter);
@@ -182,11 +186,11 @@
             connections: self.connections.clone(),
             evicting: self.evicting.clone(),
         };
-        let (host, limits, task_connection, dials) =
-            (host.clone(), self.limits, connection.clone(), self.dials.clone());
+        let (host, limits, task_connection, connection_attempts) =
+            (host.clone(), self.limits, connection.clone(), self.connection_attempts.clone());
         let receive_buffer = ReceiveBuffer::new(&self.account, Purpose::Workers);
         spawn(move || {
-            task_connection.run(&host, &limits, &dials, &queue, receive_buffer);
+            task_connection.run(&host, &limits, &connection_attempts, &queue, receive_buffer);
             drop((slot, held));
         });
         Some(connection)
@@ -222,8 +226,8 @@
             Ok(end) => end,
             Err(_) => {
                 let given_up = connection.and_then(|connection| lock(&connection.exchanges).give_up(id));
-                let error = given_up.map(|(stage, _)| unanswered_error(stage, Cause::Silent));
-                Err(error.unwrap_or(AttemptError::Unanswered(Cause::Silent)))
+                let error = given_up.map(|(stage, _)| unanswered_error(stage, AbortReason::TimedOut));
+                Err(error.unwrap_or(AttemptError::Unanswered(AbortReason::TimedOut)))
             }
         }
     }
@@ -254,16 +258,16 @@
 fn check_answer(frame: Frame, expected_code: u8) -> Result<Frame, AttemptError> {
     match frame.code {
         code if code == expected_code => Ok(frame),
-        code::OK | code::ALIVE => Err(AttemptError::Unanswered(Cause::Broken)),
-        code::MISS => Err(AttemptError::Answered(Verdict::Miss)),
-        code::FULL => Err(AttemptError::Answered(Verdict::Full)),
-        code::OVER => Err(AttemptError::Answered(Verdict::Over)),
-        _ => Err(AttemptError::Answered(Verdict::Failed)),
+        code::OK | code::ALIVE => Err(AttemptError::Unanswered(AbortReason::ConnectionLost)),
+        code::MISS => Err(AttemptError::Answered(WorkerRefusal::NotLoaded)),
+        code::FULL => Err(AttemptError::Answered(WorkerRefusal::Full)),
+        code::OVER => Err(AttemptError::Answered(WorkerRefusal::RequestEnded)),
+        _ => Err(AttemptError::Answered(WorkerRefusal::Failed)),
     }
 }
 
 impl Exchange for FrameExchange {
-    fn give_up(&mut self, cause: Cause) -> Option<AttemptError> {
+    fn cancel(&mut self, cause: AbortReason) -> Option<AttemptError> {
         let connection = self.connection.take()?;
         let (stage, _) = lock(&connection.exchanges).give_up(self.id)?;
         if stage != Stage::Queued && self.cancels {
@@ -292,7 +296,7 @@
         call: &Arc<Call>,
         expires: Ms,
         send_by: Ms,
-        end: Ending,
+        end: OnAttemptEnd,
     ) -> Box<dyn Exchange> {
         let mut fields = format!("kind={},obj={:016x}", call.class_name, call.request.model.0);
         if let Some(key) = &call.key {
@@ -340,8 +344,8 @@
         self.enqueue(host, frame, Recipients::Query, Ms::INFINITY, None, None);
     }
 
-    fn dials(&self) -> Arc<Dials> {
-        self.dials.clone()
+    fn connection_attempts(&self) -> Arc<ConnectionAttempts> {
+        self.connection_attempts.clone()
     }
 
     fn probe(&self, host: &Arc<Host>, within: Duration) -> Result<(), AttemptError> {
--- a/crates/node/src/wire/workers/connection.rs
+++ b/crates/node/src/wire/workers/connection.rs
@@ -1,8 +1,8 @@
 //! One connection to a worker: one task connects and writes, another reads.
 use super::Limits;
-use crate::core::{lock, monotonic_ms, until, AttemptError, CancelNotice, Cause};
+use crate::core::{lock, monotonic_ms, time_until, AbortReason, AttemptError, CancelNotice};
 use crate::lifecycle::spawn;
-use crate::state::counters::Dials;
+use crate::state::counters::ConnectionAttempts;
 use crate::state::exchanges::{ConnectionExchanges, Stage};
 use crate::state::memory_wait::OUT_OF_MEMORY_KIND;
 use crate::state::roster::Host;
@@ -91,9 +91,9 @@
 }
 
 /// The error of an attempt that ended without an answer at that stage.
-pub(in crate::wire) fn unanswered_error(stage: Stage, cause: Cause) -> AttemptError {
+pub(in crate::wire) fn unanswered_error(stage: Stage, cause: AbortReason) -> AttemptError {
     match stage {
-        Stage::Queued => AttemptError::Unfinished(cause),
+        Stage::Queued => AttemptError::NotFullySent(cause),
         // The reader can't tell whether the last byte was written; only the writer knows when it was not.
         Stage::Writing | Stage::Written => AttemptError::Unanswered(cause),
     }
@@ -157,18 +157,19 @@
         self: &Arc<Self>,
         host: &Host,
         limits: &Limits,
-        dials: &Dials,
+        connection_attempts: &ConnectionAttempts,
         queue: &Receiver<WriterMessage>,
         receive_buffer: ReceiveBuffer,
     ) {
-        let mut guard = EndGuard(self.clone(), AttemptError::Unconnected);
+        let mut guard = EndGuard(self.clone(), AttemptError::ConnectFailed);
         let connected = Socket::connect(&host.address, limits.connect, WRITE_STALL);
-        dials.tried.add();
-        let Ok(socket) = connected.map(Arc::new) else { return dials.failed.add() };
-        guard.1 = AttemptError::Unfinished(Cause::Broken);
+        connection_attempts.tried.increment();
+        let Ok(socket) = connected.map(Arc::new) else { return connection_attempts.failed.increment() };
+        guard.1 = AttemptError::NotFullySent(AbortReason::ConnectionLost);
         let (connection, reader, max_answer_bytes) = (self.clone(), socket.clone(), limits.answer);
         let reading = spawn(move || {
-            let _guard = EndGuard(connection.clone(), AttemptError::Unfinished(Cause::Broken));
+            let _guard =
+                EndGuard(connection.clone(), AttemptError::NotFullySent(AbortReason::ConnectionLost));
             connection.read(&reader, receive_buffer, max_answer_bytes);
             reader.shut(Shutdown::Both);
             let _ = connection.outbox.send(WriterMessage::Stop);
@@ -193,7 +194,7 @@
                 // be sent.
                 let given_up = if out.expects_answer { lock(&self.exchanges).give_up(id) } else { None };
                 if let Some((_, waiter)) = given_up {
-                    waiter(Err(AttemptError::Unfinished(Cause::Barred)));
+                    waiter(Err(AttemptError::NotFullySent(AbortReason::SendNotAllowed)));
                 }
                 continue;
             }
@@ -206,12 +207,12 @@
                 let _ = self.silent_since_ms.compare_exchange(0, monotonic_ms() as u64, relaxed, relaxed);
             }
             if let Some(expires) = out.expires {
-                out.frame.fields.push_str(&format!(",ms={}", until(expires).as_millis().max(1)));
+                out.frame.fields.push_str(&format!(",ms={}", time_until(expires).as_millis().max(1)));
             }
             if socket.write(&out.frame.encode()).is_err() {
                 let unfinished = if out.expects_answer { lock(&self.exchanges).give_up(id) } else { None };
                 if let Some((_, waiter)) = unfinished {
-                    waiter(Err(AttemptError::Unfinished(Cause::Broken)));
+                    waiter(Err(AttemptError::NotFullySent(AbortReason::ConnectionLost)));
                 }
                 return;
             }
@@ -268,10 +269,10 @@
     fn drop(&mut self) {
         let open = lock(&self.0.exchanges).close();
         for (stage, waiter) in open {
-            let end = if self.1 == AttemptError::Unconnected {
+            let end = if self.1 == AttemptError::ConnectFailed {
                 self.1
             } else {
-                unanswered_error(stage, Cause::Broken)
+                unanswered_error(stage, AbortReason::ConnectionLost)
             };
             waiter(Err(end));
         }
--- a/crates/node/src/wire/workers/tests.rs
+++ b/crates/node/src/wire/workers/tests.rs
@@ -14,7 +14,7 @@
     let host = Host::new(WorkerId(1), "w", listener.local_addr().expect("bound"));
     let second = Duration::from_secs(1);
     let limits = limits(30 * second, 8);
-    let workers = FrameWorkers::new(limits, crate::state::roomy().account(Purpose::Workers).clone());
+    let workers = FrameWorkers::new(limits, crate::state::test_ledger().account(Purpose::Workers).clone());
     let call = |id, size| {
         let request = corkbay::Request { id: corkbay::RequestId(id), ..Default::default() };
         Arc::new(Call { request, body: vec![7; size], ..Call::default() })
@@ -27,7 +27,7 @@
     // More than the socket buffers hold, so the writer blocks in this frame.
     let _second =
         workers.send(&host, &call(2, 32 << 20), monotonic_ms() + 30_000.0, f64::INFINITY, Box::new(|_| ()));
-    assert_eq!(first.give_up(Cause::GivenUp), Some(AttemptError::Unanswered(Cause::GivenUp)));
+    assert_eq!(first.cancel(AbortReason::Cancelled), Some(AttemptError::Unanswered(AbortReason::Cancelled)));
     std::thread::sleep(Duration::from_millis(100));
     assert!(!first.cancel_notice().is_sent(), "queued behind the second call");
     std::thread::spawn(move || std::io::copy(&mut socket, &mut std::io::sink()));
@@ -42,7 +42,7 @@
 /// the writer has recorded that the last byte was written.
 #[test]
 fn a_frame_that_may_be_written_does_not_prove_that_the_call_did_not_run() {
-    for cause in [Cause::Broken, Cause::Silent, Cause::GivenUp] {
+    for cause in [AbortReason::ConnectionLost, AbortReason::TimedOut, AbortReason::Cancelled] {
         assert!(unanswered_error(Stage::Queued, cause).outcome().proves_not_run());
         assert!(!unanswered_error(Stage::Writing, cause).outcome().proves_not_run());
         assert!(!unanswered_error(Stage::Written, cause).outcome().proves_not_run());
@@ -75,7 +75,7 @@
 fn idle_connections_do_not_keep_other_workers_from_being_reached() {
     let second = Duration::from_secs(1);
     let limits = limits(60 * second, 2);
-    let workers = FrameWorkers::new(limits, crate::state::roomy().account(Purpose::Workers).clone());
+    let workers = FrameWorkers::new(limits, crate::state::test_ledger().account(Purpose::Workers).clone());
     let (ended, endings) = std::sync::mpsc::channel();
     let hosts: Vec<_> = (0..4).map(|number| answering_worker(number, ended.clone())).collect();
     let send_call = |id: u64, host: &Arc<Host>| {
--- a/crates/node/tests/frames.rs
+++ b/crates/node/tests/frames.rs
@@ -1,6 +1,6 @@
 //! Worker connections against a stand-in that a test plays frame by frame.
 use corkbay::{ModelId, Outcome, Request, RequestId, WorkerId};
-use corkbay_node::core::{monotonic_ms, AttemptError, Call, Cause, Exchange, Verdict, Workers};
+use corkbay_node::core::{monotonic_ms, AbortReason, AttemptError, Call, Exchange, WorkerRefusal, Workers};
 use corkbay_node::state::roster::Host;
 use corkbay_node::wire::frames::{code, Frame, FROM_INVOKER, FROM_WORKER};
 use corkbay_node::wire::workers::{FrameWorkers, Limits};
@@ -119,7 +119,8 @@
         peer.next();
         peer.answer(code, id, "", b"");
     }
-    let expected = [Verdict::Miss, Verdict::Full, Verdict::Failed, Verdict::Over];
+    let expected =
+        [WorkerRefusal::NotLoaded, WorkerRefusal::Full, WorkerRefusal::Failed, WorkerRefusal::RequestEnded];
     for (verdict, (_, end)) in expected.into_iter().zip(&ends) {
         assert_eq!(end.recv_timeout(PATIENCE).expect("told"), Err(AttemptError::Answered(verdict)));
     }
@@ -138,7 +139,7 @@
         peer.next();
         peer.socket.write_all(&bytes).expect("written");
         let error = end.recv_timeout(PATIENCE).expect("told").expect_err("bad");
-        assert_eq!(error, AttemptError::Unanswered(Cause::Broken));
+        assert_eq!(error, AttemptError::Unanswered(AbortReason::ConnectionLost));
         assert_eq!(error.outcome(), Outcome::Reset);
         assert!(peer.ended());
     }
@@ -160,8 +161,11 @@
     // The write is noted as whole right after its last byte; what is given up has been whole by then.
     let (_probe, _) = bench.send(2);
     first.next();
-    assert_eq!(exchange.give_up(Cause::GivenUp), Some(AttemptError::Unanswered(Cause::GivenUp)));
-    assert_eq!(exchange.give_up(Cause::GivenUp), None, "an attempt ends once");
+    assert_eq!(
+        exchange.cancel(AbortReason::Cancelled),
+        Some(AttemptError::Unanswered(AbortReason::Cancelled))
+    );
+    assert_eq!(exchange.cancel(AbortReason::Cancelled), None, "an attempt ends once");
     let gone = first.next();
     assert_eq!((gone.code, gone.id), (code::GIVE_UP, 1));
     let (_again, second_end) = bench.send(1);
@@ -183,7 +187,10 @@
     assert_eq!(peer.next().id, 1);
     let (_second, second_end) = bench.send(2);
     assert_eq!(peer.next().id, 2);
-    assert_eq!(exchange.give_up(Cause::GivenUp), Some(AttemptError::Unanswered(Cause::GivenUp)));
+    assert_eq!(
+        exchange.cancel(AbortReason::Cancelled),
+        Some(AttemptError::Unanswered(AbortReason::Cancelled))
+    );
     assert!(exchange.cancel_notice().is_sent(), "there is none");
     let (_third, _) = bench.send(3);
     assert_eq!(peer.next().id, 3, "a notice would have come before it");
@@ -193,17 +200,17 @@
     assert!(end.try_recv().is_err(), "nothing more is told of the first");
 }
 
-/// Guards the rule on drains at its last point: nothing is written to a worker that is barred.
+/// Guards the rule on drains at its last point: nothing is written to a worker that is blocked.
 #[test]
 fn a_barred_worker_is_written_no_work() {
     let bench = Bench::new();
     bench.host.set_blocked(true);
     let (_exchange, end) = bench.send(1);
-    let error = end.recv_timeout(PATIENCE).expect("told").expect_err("barred");
-    assert_eq!(error, AttemptError::Unfinished(Cause::Barred));
+    let error = end.recv_timeout(PATIENCE).expect("told").expect_err("blocked");
+    assert_eq!(error, AttemptError::NotFullySent(AbortReason::SendNotAllowed));
     assert!(error.outcome().proves_not_run());
     let (order, _) = bench.workers.load(&bench.host, ModelId(5), 1, f64::INFINITY, PATIENCE);
-    assert_eq!(order, Err(AttemptError::Unfinished(Cause::Barred)));
+    assert_eq!(order, Err(AttemptError::NotFullySent(AbortReason::SendNotAllowed)));
     bench.listener.set_nonblocking(true).expect("set");
     assert!(bench.listener.accept().is_err(), "nobody called");
 }
@@ -224,7 +231,7 @@
     bench.host.suspend(true);
     let mut head = [0; 16];
     peer.socket.read_exact(&mut head).expect("the long frame");
-    assert!(long.give_up(Cause::GivenUp).is_some());
+    assert!(long.cancel(AbortReason::Cancelled).is_some());
     let fields = usize::from(u16::from_be_bytes([head[2], head[3]]));
     peer.socket.read_exact(&mut vec![0; fields + (32 << 20) + 4]).expect("its rest");
     // Written whatever is held back, and behind it.
@@ -237,7 +244,7 @@
 fn an_order_that_is_too_late_is_not_written() {
     let bench = Bench::new();
     let (order, copies) = bench.workers.load(&bench.host, ModelId(5), 1, monotonic_ms() - 1.0, PATIENCE);
-    assert_eq!((order, copies), (Err(AttemptError::Unfinished(Cause::Barred)), 0));
+    assert_eq!((order, copies), (Err(AttemptError::NotFullySent(AbortReason::SendNotAllowed)), 0));
     bench.workers.evict(&bench.host, ModelId(6));
     assert_eq!(bench.peer().next().code, code::EVICT, "nothing went before it");
 }
@@ -249,7 +256,7 @@
     let bench = Bench { host: nobody, ..bench };
     let (_exchange, end) = bench.send(1);
     let error = end.recv_timeout(PATIENCE).expect("told").expect_err("refused");
-    assert_eq!((error, error.outcome()), (AttemptError::Unconnected, Outcome::ConnectFailed));
+    assert_eq!((error, error.outcome()), (AttemptError::ConnectFailed, Outcome::ConnectFailed));
 }
 
 /// Guards the count of copies: an order that fails tells as well how many stand.
@@ -272,8 +279,8 @@
         });
         let order = || bench.workers.load(&bench.host, ModelId(5), 2, f64::INFINITY, PATIENCE);
         assert_eq!(order(), (Ok(()), 2));
-        assert_eq!(order(), (Err(AttemptError::Answered(Verdict::Full)), 1));
-        assert_eq!(order(), (Err(AttemptError::Answered(Verdict::Failed)), 0));
+        assert_eq!(order(), (Err(AttemptError::Answered(WorkerRefusal::Full)), 1));
+        assert_eq!(order(), (Err(AttemptError::Answered(WorkerRefusal::Failed)), 0));
         bench.workers.evict(&bench.host, ModelId(5));
     });
 }
@@ -309,17 +316,18 @@
     peer.next();
     // A second connection is wanted where the first is at its limit of exchanges; so many share one.
     let many: Vec<_> = (2..=40).map(|id| bench.send(id)).collect();
-    let barred: Result<Vec<u8>, _> = Err(AttemptError::Unfinished(Cause::Barred));
-    let refused =
-        many.iter().filter(|(_, end)| end.recv_timeout(Duration::from_millis(20)).as_ref() == Ok(&barred));
+    let not_allowed: Result<Vec<u8>, _> = Err(AttemptError::NotFullySent(AbortReason::SendNotAllowed));
+    let refused = many
+        .iter()
+        .filter(|(_, end)| end.recv_timeout(Duration::from_millis(20)).as_ref() == Ok(&not_allowed));
     assert_eq!(refused.count(), 8, "32 go on one connection, and there is no room for another");
-    assert!(barred.as_ref().is_err_and(|error| error.outcome().proves_not_run()));
+    assert!(not_allowed.as_ref().is_err_and(|error| error.outcome().proves_not_run()));
     drop(peer);
     assert!(first_end.recv_timeout(PATIENCE).expect("told").is_err());
     // The room comes back when the connection's tasks have ended, a moment after its end was told.
     let fits = |id| {
         std::thread::sleep(Duration::from_millis(10));
-        bench.send(id).1.recv_timeout(Duration::from_millis(20)) != Ok(barred.clone())
+        bench.send(id).1.recv_timeout(Duration::from_millis(20)) != Ok(not_allowed.clone())
     };
     assert!((100..2000).any(fits), "the room came back");
 }
--- a/crates/rig/src/scale/feed/hollow.rs
+++ b/crates/rig/src/scale/feed/hollow.rs
@@ -7,7 +7,7 @@
 use corkbay_node::lifecycle::deploy::Deploy;
 use corkbay_node::lifecycle::{accounts, logs, platform, spawn};
 use corkbay_node::state::catalog::Catalog;
-use corkbay_node::state::store::{KeptAfterRestart, Store};
+use corkbay_node::state::store::{RestartRetention, Store};
 use corkbay_node::wire::feed::{follow, FollowerHandle};
 use corkbay_node::wire::http_workers::{HttpWorkers, Limits, Style};
 use corkbay_node::wire::record_changes::OnRecordChanges;
@@ -105,7 +105,7 @@
         let ledger = Arc::new(Ledger::new(&budget, &accounts::tenants(&settings)));
         let folder = deploy.data_dir.as_deref().ok_or_else(|| failed("a follower without data_dir"))?;
         let store = Arc::new(
-            Store::open(&deploy.node, folder, ledger.clone(), KeptAfterRestart::AS_DATED).map_err(failed)?,
+            Store::open(&deploy.node, folder, ledger.clone(), RestartRetention::AS_DATED).map_err(failed)?,
         );
         let give_up = deploy.classes.iter().map(|class| class.give_up_ms).collect();
         let catalog = Arc::new(Catalog::new(store.clone(), give_up));
--- a/crates/rig/src/scale/worker_list.rs
+++ b/crates/rig/src/scale/worker_list.rs
@@ -6,7 +6,7 @@
 use corkbay::{ModelId, Ms, Names, WorkerState};
 use corkbay_ledger::{Budget, Ledger, Purpose, Shares, MIB};
 use corkbay_node::core::UnixTime;
-use corkbay_node::core::{AttemptError, Call, Ending, Exchange, Invoker, Workers};
+use corkbay_node::core::{AttemptError, Call, Exchange, Invoker, OnAttemptEnd, Workers};
 use corkbay_node::state::catalog::{Catalog, State, Worker};
 use corkbay_node::state::roster::{Host, WorkerDirectory, WorkerListing};
 use corkbay_node::state::store::Store;
@@ -163,8 +163,8 @@
 fn measure_room(workers: usize, options: &Options, add: &mut Add) {
     let Ok(ledger) = ledger(PLANNED_MEMORY) else { return };
     let invoker = invoker(options, &ledger);
-    invoker.news((0..workers).map(|number| listing(number, options)).collect(), true, false);
-    let known = (0..workers).filter(|number| invoker.may_resume(&worker_name(*number)).is_ok()).count();
+    invoker.update_roster((0..workers).map(|number| listing(number, options)).collect(), true, false);
+    let known = (0..workers).filter(|number| invoker.check_resume(&worker_name(*number)).is_ok()).count();
     add("roster: workers taken in with 256 MB", known as f64, "workers");
     add("roster: part of its account used", part_used(&ledger, Purpose::Roster), "of the cap");
 }
@@ -306,7 +306,7 @@
 struct NoExchange(corkbay_node::core::CancelNotice);
 
 impl Exchange for NoExchange {
-    fn give_up(&mut self, _: corkbay_node::core::Cause) -> Option<AttemptError> {
+    fn cancel(&mut self, _: corkbay_node::core::AbortReason) -> Option<AttemptError> {
         None
     }
 
@@ -316,18 +316,18 @@
 }
 
 impl Workers for NoWorkers {
-    fn send(&self, _: &Arc<Host>, _: &Arc<Call>, _: Ms, _: Ms, end: Ending) -> Box<dyn Exchange> {
-        end(Err(AttemptError::Unconnected));
+    fn send(&self, _: &Arc<Host>, _: &Arc<Call>, _: Ms, _: Ms, end: OnAttemptEnd) -> Box<dyn Exchange> {
+        end(Err(AttemptError::ConnectFailed));
         Box::new(NoExchange(Default::default()))
     }
 
     fn load(&self, _: &Arc<Host>, _: ModelId, _: u32, _: Ms, _: Duration) -> (Result<(), AttemptError>, u32) {
-        (Err(AttemptError::Unconnected), 0)
+        (Err(AttemptError::ConnectFailed), 0)
     }
 
     fn evict(&self, _: &Arc<Host>, _: ModelId) {}
 
     fn probe(&self, _: &Arc<Host>, _: Duration) -> Result<(), AttemptError> {
-        Err(AttemptError::Unconnected)
+        Err(AttemptError::ConnectFailed)
     }
 }
