--- a/crates/node/src/wire/command_channel.rs
+++ b/crates/node/src/wire/command_channel.rs
@@ -77,7 +77,8 @@
 }
 
 impl Endpoint {
-    /// Converts the entry. `last_contact_without_report` is when the channel was last received without this event, in milliseconds.
+    /// Converts the entry. `last_contact_without_report` is when the channel was last received without this event, in
+    /// milliseconds.
     fn listing(self, last_contact_without_report: Ms) -> WorkerListing {
         let endpoint = self;
         WorkerListing {
@@ -104,8 +105,8 @@
         self.report(invoker, Ms::NEG_INFINITY, true);
     }
 
-    /// Reports the event to the invoker. `last_contact_without_report` is when the channel was last received without it, in milliseconds;
-    /// `remembered` is set for events that were known at the start.
+    /// Reports the event to the invoker. `last_contact_without_report` is when the channel was last received without it,
+    /// in milliseconds; `remembered` is set for events that were known at the start.
     fn report(self, invoker: &Arc<Invoker>, last_contact_without_report: Ms, remembered: bool) {
         if let Some(nodes) = self.nodes {
             let parse_entry = |entry: Value| match Endpoint::deserialize(&entry) {
--- a/crates/node/src/wire/http_workers.rs
+++ b/crates/node/src/wire/http_workers.rs
@@ -66,9 +66,9 @@
 struct Attempt {
     exchanges: Mutex<ConnectionExchanges<OnAttemptEnd>>,
     id: u64,
-    /// Shut down when the attempt is given up.
+    /// Shut down when the attempt is cancelled.
     socket: Mutex<Option<Arc<Socket>>>,
-    /// Path of the deferred call on the worker, for its cancellation when the attempt is given up.
+    /// Path of the deferred call on the worker, for its cancellation when the attempt is cancelled.
     location: Mutex<Option<String>>,
 }
 
@@ -176,7 +176,7 @@
 }
 
 impl Attempt {
-    /// Reports the result, unless the attempt was given up before.
+    /// Reports the result, unless the attempt was cancelled before.
     fn settle(&self, end: Result<Vec<u8>, AttemptError>) {
         let waiter = lock(&self.exchanges).give_up(self.id);
         if let Some((_, waiter)) = waiter {
--- a/crates/node/src/wire/workers.rs
+++ b/crates/node/src/wire/workers.rs
@@ -43,7 +43,7 @@
     pub connections: usize,
     /// Maximum size of an answer's body, in bytes.
     pub answer: usize,
-    /// Whether a cancel command is sent to the worker when an attempt is given up.
+    /// Whether a cancel command is sent to the worker when an attempt is cancelled.
     pub cancels: bool,
 }
 
