--- a/crates/node/src/core/counting.rs
+++ b/crates/node/src/core/counting.rs
@@ -1,15 +1,15 @@
 //! Counts final answers by kind.
 use super::Answer;
-use crate::memory::counters::Counters;
+use crate::state::counters::Counters;
 
 impl Counters {
     /// Counts the final answer of a request.
     pub fn answered(&self, answer: &Answer) {
         match answer {
-            Answer::Served { .. } => self.served.add(),
-            Answer::Refused { .. } => self.refused.add(),
-            Answer::Failed(_) => self.failed.add(),
-            Answer::Withdrawn => self.withdrawn.add(),
+            Answer::Served { .. } => self.served.increment(),
+            Answer::Refused { .. } => self.refused.increment(),
+            Answer::Failed(_) => self.failed.increment(),
+            Answer::Withdrawn => self.withdrawn.increment(),
         }
     }
 }
--- a/crates/node/src/core/invoker.rs
+++ b/crates/node/src/core/invoker.rs
@@ -12,19 +12,19 @@
 mod request;
 
 use super::{
-    monotonic_ms, until, Call, LoadChange, LogLineLimit, StallDetector, Workers, HEARTBEAT_INTERVAL,
+    monotonic_ms, time_until, Call, LoadChange, LogLineLimit, StallDetector, Workers, HEARTBEAT_INTERVAL,
 };
-use crate::memory::counters::Counters;
-use crate::memory::roster::{BanError, Directory, Listing};
+use crate::state::counters::Counters;
+use crate::state::roster::{SuspensionError, WorkerDirectory, WorkerListing};
 use crate::timers;
 use corkbay::{Dispatcher, Event, ModelId, Ms, Names, RequestId, Settings};
-use corkbay_duty::{Bans, Duty, Leave, Terms};
-use corkbay_ledger::pressure::{decide, Case, Decision};
-use corkbay_ledger::{Full, Ledger, Purpose, Reservation};
+use corkbay_duty::{HostOverrides, Leave, LeaveSchedule, ServingState};
+use corkbay_ledger::pressure::{decide_at_cap, Decision, FullAccount};
+use corkbay_ledger::{CapExceeded, Ledger, Purpose, Reservation};
 use may::sync::{mpsc, Condvar, Mutex};
 pub use messages::Inbox;
 use messages::TaskMessage;
-pub use request::Taken;
+pub use request::AcceptedRequest;
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, OnceLock};
@@ -39,11 +39,11 @@
 
 /// Why a request was not accepted; nothing of it ran.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum NotTaken {
+pub enum AdmissionError {
     /// A request with this id is still unanswered.
-    Open,
+    DuplicateId,
     /// There is too little memory or time for it; retry after this many milliseconds, 0 for no advice.
-    Crowded(Ms),
+    Overloaded(Ms),
     /// The invoker is draining and accepts no requests.
     Draining,
 }
@@ -65,7 +65,7 @@
 /// Owns the dispatcher, reports events to it and performs its actions.
 pub struct Invoker {
     core: Mutex<DispatcherState>,
-    directory: Mutex<Directory>,
+    directory: Mutex<WorkerDirectory>,
     /// Held while a roster update is applied and reported, so that the dispatcher receives updates in the
     /// order in which they were applied.
     roster_updates: Mutex<()>,
@@ -74,8 +74,8 @@
     ledger: Arc<Ledger>,
     unanswered: Mutex<usize>,
     all_answered: Condvar,
-    duty: Mutex<Duty>,
-    duty_changed: Condvar,
+    serving_state: Mutex<ServingState>,
+    serving_state_changed: Condvar,
     serving: AtomicBool,
     /// Numbers and names of classes, tenants, zones and kinds.
     pub names: Names,
@@ -113,10 +113,10 @@
         let classes = setup["classes"].as_array().map(Vec::as_slice).unwrap_or_default();
         let give_up = classes.iter().map(|class| class["giveUpMs"].as_f64().unwrap_or(1000.0)).collect();
         let dispatcher = Dispatcher::new(settings.clone(), seed);
-        let learnt = ledger.account(Purpose::Learnt).nothing();
+        let learnt = ledger.account(Purpose::Learnt).empty_reservation();
         let core = DispatcherState { dispatcher, inboxes: HashMap::new(), learnt };
-        let directory = Directory::new(&names, ledger.account(Purpose::Roster));
-        let counters = Counters::new(workers.dials());
+        let directory = WorkerDirectory::new(&names, ledger.account(Purpose::Roster));
+        let counters = Counters::new(workers.connection_attempts());
         Arc::new(Invoker {
             core: Mutex::new(core),
             directory: Mutex::new(directory),
@@ -126,8 +126,8 @@
             ledger,
             unanswered: Mutex::new(0),
             all_answered: Condvar::new(),
-            duty: Mutex::default(),
-            duty_changed: Condvar::new(),
+            serving_state: Mutex::default(),
+            serving_state_changed: Condvar::new(),
             serving: AtomicBool::new(false),
             names,
             settings,
@@ -140,17 +140,17 @@
     }
 
     /// Accepts a request, which must get a final answer from then on.
-    pub fn take(self: &Arc<Self>, call: Call) -> Result<Taken, NotTaken> {
-        self.admit(call).inspect_err(|_| self.counters.turned_away.add())
+    pub fn accept(self: &Arc<Self>, call: Call) -> Result<AcceptedRequest, AdmissionError> {
+        self.admit(call).inspect_err(|_| self.counters.turned_away.increment())
     }
 
-    fn admit(self: &Arc<Self>, call: Call) -> Result<Taken, NotTaken> {
-        if self.duty().refuses(monotonic_ms()) {
-            return Err(NotTaken::Draining);
+    fn admit(self: &Arc<Self>, call: Call) -> Result<AcceptedRequest, AdmissionError> {
+        if self.serving_state().refuses(monotonic_ms()) {
+            return Err(AdmissionError::Draining);
         }
         if self.stall_detector.is_overloaded(monotonic_ms()) {
-            self.counters.turned_away_behind.add();
-            return Err(NotTaken::Crowded(self.settings.max_retry_after));
+            self.counters.turned_away_behind.increment();
+            return Err(AdmissionError::Overloaded(self.settings.max_retry_after));
         }
         let reservation =
             self.ledger.reserve(Purpose::Calls, call.request.tenant, CALL_OVERHEAD_BYTES + call.size());
@@ -159,16 +159,16 @@
         {
             let mut core = lock(&self.core);
             if core.inboxes.contains_key(&call.request.id) {
-                return Err(NotTaken::Open);
+                return Err(AdmissionError::DuplicateId);
             }
             core.reserve_model(call.request.model).map_err(|full| no_memory(Purpose::Learnt, &full))?;
             core.inboxes.insert(call.request.id, sender.clone());
         }
         *lock(&self.unanswered) += 1;
-        self.counters.taken.add();
+        self.counters.taken.increment();
         self.counters.body_bytes.observe(call.body.len() as f64);
         let (call, inbox) = (Arc::new(call), Inbox { messages, sender });
-        Ok(Taken {
+        Ok(AcceptedRequest {
             invoker: self.clone(),
             call,
             inbox,
@@ -187,10 +187,10 @@
     /// Starts a task that records heartbeats for the life of the process.
     pub fn watch_for_stalls(self: &Arc<Self>) {
         let invoker = self.clone();
-        crate::life::spawn(move || loop {
+        crate::lifecycle::spawn(move || loop {
             match invoker.stall_detector.record_heartbeat(monotonic_ms()) {
                 Some(LoadChange::Overloaded(late_ms)) => {
-                    invoker.counters.fell_behind.add();
+                    invoker.counters.fell_behind.increment();
                     tracing::warn!(late_ms = late_ms.round(), "behind: new requests are turned away");
                 }
                 Some(LoadChange::Recovered) => tracing::info!("caught up"),
@@ -202,7 +202,7 @@
 
     /// The earliest time at which data read now can have arrived, in milliseconds on the monotonic clock; a
     /// client's deadline is counted from it.
-    pub fn came_at(&self) -> Ms {
+    pub fn earliest_arrival(&self) -> Ms {
         self.stall_detector.earliest_arrival(monotonic_ms())
     }
 
@@ -215,11 +215,11 @@
     /// as no open request needs it.
     pub fn measure(&self) {
         let core = &mut *lock(&self.core);
-        let excess = core.dispatcher.remembered().bytes.saturating_sub(core.learnt.account().cap());
+        let excess = core.dispatcher.table_sizes().bytes.saturating_sub(core.learnt.account().cap());
         if excess > 0 {
-            core.dispatcher.forget(excess);
+            core.dispatcher.evict_state(excess);
         }
-        core.learnt.owe(core.dispatcher.remembered().bytes);
+        core.learnt.reserve_over_cap(core.dispatcher.table_sizes().bytes);
     }
 
     /// Withdraws a request: its client no longer waits.
@@ -229,9 +229,9 @@
         }
     }
 
-    /// Applies an update on the workers. Workers that may no longer be used are barred before the dispatcher
+    /// Applies an update on the workers. Workers that may no longer be used are blocked before the dispatcher
     /// is notified.
-    pub fn news(self: &Arc<Self>, listings: Vec<Listing>, whole: bool, remembered: bool) {
+    pub fn update_roster(self: &Arc<Self>, listings: Vec<WorkerListing>, whole: bool, remembered: bool) {
         let _ordered = lock(&self.roster_updates);
         let known = lock(&self.directory).known_after(&listings, whole);
         if let Some(make_room) = self.room_for_workers.get() {
@@ -243,26 +243,26 @@
 
     /// Replaces the operators' overrides on hosts: from then on nothing starts on a suspended host, whatever
     /// the directory says.
-    pub fn adopt(self: &Arc<Self>, bans: Bans) {
+    pub fn set_host_overrides(self: &Arc<Self>, host_overrides: HostOverrides) {
         let _ordered = lock(&self.roster_updates);
-        let roster = lock(&self.directory).adopt(bans);
-        if !matches!(&roster, corkbay::Roster::Changes(entries) if entries.is_empty()) {
+        let roster = lock(&self.directory).set_host_overrides(host_overrides);
+        if !matches!(&roster, corkbay::RosterUpdate::Changes(entries) if entries.is_empty()) {
             self.feed(Event::Roster(roster));
         }
     }
 
     /// Whether a host can be suspended.
-    pub fn may_suspend(&self, name: &str) -> Result<(), BanError> {
-        lock(&self.directory).may_suspend(name)
+    pub fn check_suspend(&self, name: &str) -> Result<(), SuspensionError> {
+        lock(&self.directory).check_suspend(name)
     }
 
     /// Whether a host can be resumed.
-    pub fn may_resume(&self, name: &str) -> Result<(), BanError> {
-        lock(&self.directory).may_resume(name)
+    pub fn check_resume(&self, name: &str) -> Result<(), SuspensionError> {
+        lock(&self.directory).check_resume(name)
     }
 
     /// Records that this process is ready for clients.
-    pub fn serving(&self) {
+    pub fn set_serving(&self) {
         self.serving.store(true, Ordering::Release);
     }
 
@@ -272,31 +272,34 @@
     }
 
     /// The operators' overrides on hosts.
-    pub fn bans(&self) -> Bans {
-        lock(&self.directory).bans().clone()
+    pub fn host_overrides(&self) -> HostOverrides {
+        lock(&self.directory).host_overrides().clone()
     }
 
     /// The current state towards clients: serving, draining or ending.
-    pub fn duty(&self) -> Duty {
-        *lock(&self.duty)
+    pub fn serving_state(&self) -> ServingState {
+        *lock(&self.serving_state)
     }
 
     /// Starts to leave the clients, with these times.
-    pub fn leave(&self, why: Leave, terms: Terms) {
-        lock(&self.duty).leave(why, monotonic_ms(), terms);
-        self.duty_changed.notify_all();
+    pub fn start_leaving(&self, why: Leave, schedule: LeaveSchedule) {
+        lock(&self.serving_state).leave(why, monotonic_ms(), schedule);
+        self.serving_state_changed.notify_all();
     }
 
     /// Returns to serving clients; false if the process is about to end.
-    pub fn come_back(&self) -> bool {
-        lock(&self.duty).come_back()
+    pub fn return_to_service(&self) -> bool {
+        lock(&self.serving_state).come_back()
     }
 
     /// Waits until a drain or the end of the process has begun.
     pub fn wait_for_leave(&self) {
-        let mut duty = lock(&self.duty);
-        while duty.leaving().is_none() {
-            duty = self.duty_changed.wait(duty).unwrap_or_else(|poisoned| poisoned.into_inner());
+        let mut serving_state = lock(&self.serving_state);
+        while serving_state.leaving().is_none() {
+            serving_state = self
+                .serving_state_changed
+                .wait(serving_state)
+                .unwrap_or_else(|poisoned| poisoned.into_inner());
         }
     }
 
@@ -311,46 +314,46 @@
     }
 
     /// Waits until all requests are answered; false if that takes longer than `within`.
-    pub fn settle(&self, within: Duration) -> bool {
+    pub fn wait_until_answered(&self, within: Duration) -> bool {
         let end = monotonic_ms() + within.as_secs_f64() * 1000.0;
         let mut unanswered = lock(&self.unanswered);
         while *unanswered > 0 {
             if monotonic_ms() >= end {
                 return false;
             }
-            unanswered = timers::wait(&self.all_answered, unanswered, until(end));
+            unanswered = timers::wait(&self.all_answered, unanswered, time_until(end));
         }
         true
     }
 
     /// Number of requests that are not yet answered.
-    pub fn owed(&self) -> usize {
+    pub fn unanswered(&self) -> usize {
         *lock(&self.unanswered)
     }
 }
 
-fn no_memory(purpose: Purpose, full: &Full) -> NotTaken {
+fn no_memory(purpose: Purpose, full: &CapExceeded) -> AdmissionError {
     let (asked, cap) = (full.asked, full.cap);
-    match decide(&Case { purpose, asked, cap, idle: 0, frees_in: None, waited: 0.0 }) {
-        Decision::Refuse { retry_after: Some(span) } => NotTaken::Crowded(span),
-        _ => NotTaken::Crowded(0.0),
+    match decide_at_cap(&FullAccount { purpose, asked, cap, idle: 0, frees_in: None, waited: 0.0 }) {
+        Decision::Refuse { retry_after: Some(span) } => AdmissionError::Overloaded(span),
+        _ => AdmissionError::Overloaded(0.0),
     }
 }
 
 impl DispatcherState {
     /// Reserves memory for a model that is to be called. If there is none left, the dispatcher forgets models:
     /// those that were never loaded first, then the least recently used.
-    fn reserve_model(&mut self, model: ModelId) -> Result<(), Full> {
-        let asked = self.dispatcher.adds(model);
+    fn reserve_model(&mut self, model: ModelId) -> Result<(), CapExceeded> {
+        let asked = self.dispatcher.model_cost_bytes(model);
         let grown_bytes = |core: &DispatcherState| core.learnt.bytes() + asked;
         let Err(full) = self.learnt.resize(grown_bytes(self)) else { return Ok(()) };
         let (purpose, cap, idle) = (Purpose::Learnt, full.cap, self.learnt.bytes());
-        let case = Case { purpose, asked, cap, idle, frees_in: None, waited: 0.0 };
-        if let Decision::Evict { bytes } = decide(&case) {
+        let case = FullAccount { purpose, asked, cap, idle, frees_in: None, waited: 0.0 };
+        if let Decision::Evict { bytes } = decide_at_cap(&case) {
             // Forgets a larger part at a time, so that not every new model has to search for something to
             // forget.
-            self.dispatcher.forget(bytes.max(cap / FORGET_DIVISOR));
-            self.learnt.shrink_to(self.dispatcher.remembered().bytes);
+            self.dispatcher.evict_state(bytes.max(cap / FORGET_DIVISOR));
+            self.learnt.shrink_to(self.dispatcher.table_sizes().bytes);
         }
         self.learnt.resize(grown_bytes(self))
     }
--- a/crates/node/src/core/invoker/actions.rs
+++ b/crates/node/src/core/invoker/actions.rs
@@ -2,7 +2,7 @@
 use super::messages::TaskMessage;
 use super::{lock, DispatcherState, Invoker};
 use crate::core::{monotonic_ms, AttemptError};
-use crate::memory::roster::Host;
+use crate::state::roster::Host;
 use crate::timers;
 use corkbay::{Action, Event, ModelId, Ms, Outcome, WorkerId};
 use corkbay_ledger::{Purpose, Reservation};
@@ -66,7 +66,7 @@
         // The recurring timer keeps the dispatcher running, so it is started over the cap. If another timer
         // is dropped, its work is done when the recurring timer fires next.
         let reservation = if token == RECURRING_TIMER_TOKEN {
-            Ok(account.owe(TASK_STACK_BYTES))
+            Ok(account.reserve_over_cap(TASK_STACK_BYTES))
         } else {
             account.reserve(TASK_STACK_BYTES)
         };
@@ -88,10 +88,10 @@
             let (end, copies) = match invoker.host(worker) {
                 Some(host) => {
                     let counters = &invoker.counters;
-                    if copies > 0 { &counters.orders } else { &counters.questions }.add();
+                    if copies > 0 { &counters.orders } else { &counters.questions }.increment();
                     invoker.workers.load(&host, model, copies, by, invoker.timeouts.order)
                 }
-                None => (Err(AttemptError::Unconnected), 0),
+                None => (Err(AttemptError::ConnectFailed), 0),
             };
             let outcome = end.map_or_else(AttemptError::outcome, |()| Outcome::Ok);
             let took = monotonic_ms() - started;
@@ -102,7 +102,7 @@
 
     fn order_eviction(&self, worker: WorkerId, model: ModelId) {
         if let Some(host) = self.host(worker) {
-            self.counters.evictions.add();
+            self.counters.evictions.increment();
             self.workers.evict(&host, model);
         }
     }
@@ -116,7 +116,7 @@
             let started = monotonic_ms();
             let end = match invoker.host(worker) {
                 Some(host) => invoker.workers.probe(&host, invoker.timeouts.probe),
-                None => Err(AttemptError::Unconnected),
+                None => Err(AttemptError::ConnectFailed),
             };
             let outcome = end.map_or_else(AttemptError::outcome, |()| Outcome::Ok);
             invoker.feed(Event::Probed { worker, outcome, took: monotonic_ms() - started, report: None });
@@ -136,7 +136,7 @@
     /// Starts a task that holds its memory reservation until it ends.
     fn spawn(self: &Arc<Self>, reservation: Reservation, task: impl FnOnce(&Arc<Invoker>) + Send + 'static) {
         let invoker = self.clone();
-        crate::life::spawn(move || {
+        crate::lifecycle::spawn(move || {
             task(&invoker);
             drop(reservation);
         });
--- a/crates/node/src/core/invoker/request.rs
+++ b/crates/node/src/core/invoker/request.rs
@@ -4,7 +4,7 @@
 use super::{lock, Invoker, CALL_OVERHEAD_BYTES};
 use crate::core::unserved::hex;
 use crate::core::{monotonic_ms, Answer, AttemptError, Call, Failure, Unserved};
-use crate::memory::room;
+use crate::state::memory_wait;
 use corkbay::{Event, Finished, Ms, Outcome, Request, Warmth, WorkerId};
 use corkbay_ledger::Reservation;
 use may::sync::Mutex;
@@ -18,7 +18,7 @@
 const MAX_ANSWER_WAIT_MS: Ms = 500.0;
 
 /// An accepted request; it stays registered with the invoker until this is dropped, after its final answer.
-pub struct Taken {
+pub struct AcceptedRequest {
     pub(super) invoker: Arc<Invoker>,
     pub(super) call: Arc<Call>,
     pub(super) inbox: Inbox,
@@ -26,7 +26,7 @@
     pub(super) accepted_at: Ms,
 }
 
-impl Taken {
+impl AcceptedRequest {
     /// Processes the request, from its first event to its final answer.
     pub fn serve(&self) -> Answer {
         let mut attempts = InFlightAttempts::new(self);
@@ -136,8 +136,8 @@
         if let Err(full) = reservation.resize(bytes) {
             // The answer must still be written before the deadline.
             let left_ms = (self.call.request.expires - monotonic_ms()) / 2.0;
-            room::wait(&full.account, full.asked, left_ms.clamp(0.0, MAX_ANSWER_WAIT_MS));
-            reservation.owe(bytes);
+            memory_wait::wait_for_memory(&full.account, full.asked, left_ms.clamp(0.0, MAX_ANSWER_WAIT_MS));
+            reservation.reserve_over_cap(bytes);
         }
     }
 
@@ -169,14 +169,14 @@
             closed,
             outcome,
             took: monotonic_ms() - started,
-            warmth: Warmth::Untold,
-            crowd: None,
+            warmth: Warmth::Unknown,
+            concurrent_calls: None,
             report: None,
         }));
     }
 }
 
-impl Drop for Taken {
+impl Drop for AcceptedRequest {
     /// Removes the request from the invoker, also when its task panics.
     fn drop(&mut self) {
         self.invoker.counters.call_seconds.observe((monotonic_ms() - self.accepted_at) / 1000.0);
--- a/crates/node/src/life/accounts.rs
+++ b/crates/node/src/lifecycle/accounts.rs
@@ -2,10 +2,10 @@
 use super::config::ConfigError;
 use super::spawn;
 use crate::core::{monotonic_ms, Invoker};
-use crate::memory::resident::resident_bytes;
-use crate::memory::roster;
+use crate::state::resident::resident_bytes;
+use crate::state::roster;
 use crate::timers;
-use corkbay::{Settings, Tables};
+use corkbay::{Settings, TableSizes};
 use corkbay_ledger::{Alarm, Budget, BudgetError, Purpose, Shares, TenantShare, MIB};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -50,7 +50,7 @@
         let shares = Shares::platform();
         let with_spare = |bytes: usize| self.workers * bytes / WORKERS_PER_SPARE * (WORKERS_PER_SPARE + 1);
         let model_bytes = (room_bytes as f64 * shares.percent(Purpose::Learnt) / 100.0) as usize;
-        let learnt_bytes = model_bytes + with_spare(Tables::worker_cost(self.classes));
+        let learnt_bytes = model_bytes + with_spare(TableSizes::worker_cost(self.classes));
         let roster_bytes = with_spare(roster::usual_cost());
         let usual_bytes = (room_bytes as f64 * shares.percent(Purpose::Roster) / 100.0) as usize;
         if roster_bytes <= usual_bytes {
@@ -134,7 +134,7 @@
             invoker.measure();
             for warning in invoker.ledger().warnings(&mut alarm, monotonic_ms()) {
                 tracing::warn!(
-                    account = %warning.account, high = warning.high, cap = warning.cap, "close to its cap"
+                    account = %warning.account, high = warning.recent_peak, cap = warning.cap, "close to its cap"
                 );
             }
         }
@@ -145,7 +145,7 @@
 pub fn log(invoker: &Invoker) {
     let (resident, held) = (resident_bytes(), invoker.ledger().held());
     tracing::info!(resident, held, unaccounted = resident.saturating_sub(held), "memory");
-    for line in invoker.ledger().lines() {
+    for line in invoker.ledger().statuses() {
         let tenant = line.tenant.as_deref().unwrap_or("all");
         let (used, peak, cap, refused) = (line.used, line.peak, line.cap, line.refused);
         tracing::info!(purpose = line.purpose, tenant, used, peak, cap, refused, "account");
--- a/crates/node/src/life/platform.rs
+++ b/crates/node/src/lifecycle/platform.rs
@@ -6,12 +6,12 @@
 use crate::core::{monotonic_ms, Invoker};
 use crate::timers;
 use crate::wire::accept::{Acceptor, ConnectionLimits};
-use crate::wire::channel::{self, Line};
+use crate::wire::command_channel::{self, CommandChannel};
+use crate::wire::connection_handover::{self, HandoverSender};
 use crate::wire::frames::MAX_BODY;
-use crate::wire::passage::{self, Passage};
 use crate::wire::workers::{FrameWorkers, Limits as WorkerLimits};
-use crate::wire::{front, operators};
-use corkbay_duty::{Leave, Terms};
+use crate::wire::{operators, thrift_front};
+use corkbay_duty::{Leave, LeaveSchedule};
 use corkbay_ledger::{Budget, Ledger, Purpose};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGUSR1};
 use signal_hook::iterator::Signals;
@@ -96,10 +96,10 @@
     /// Applies the current limits to the ledger and to the connections.
     fn adopt(&self) -> Result<(), ConfigError> {
         let (memory, parts) = (self.memory_mb.load(Ordering::Relaxed), self.parts.load(Ordering::Relaxed));
-        self.ledger.adopt(&budget(memory, self.base_bytes, parts, self.fleet_size())?);
+        self.ledger.apply_budget(&budget(memory, self.base_bytes, parts, self.fleet_size())?);
         let (clients, to_workers) = split_descriptors(self.sockets / parts);
-        self.workers.set_most(to_workers);
-        self.acceptor.get().into_iter().for_each(|acceptor| acceptor.set_most(clients));
+        self.workers.set_max_connections(to_workers);
+        self.acceptor.get().into_iter().for_each(|acceptor| acceptor.set_max_connections(clients));
         Ok(())
     }
 
@@ -193,8 +193,11 @@
     };
     if let Some(admin) = config.admin {
         let account = ledger.account(Purpose::Operators).clone();
-        let client_limits =
-            ConnectionLimits { most: operators::SEATS, stall: operators::WRITE_STALL, account };
+        let client_limits = ConnectionLimits {
+            max_connections: operators::SEATS,
+            write_timeout: operators::WRITE_STALL,
+            account,
+        };
         let acceptor =
             Acceptor::open(admin, client_limits).map_err(|error| ConfigError::new("admin", error))?;
         let (task_invoker, overrides) = (invoker.clone(), overrides.clone());
@@ -202,7 +205,8 @@
             acceptor.accept(move |connection| operators::serve(&task_invoker, &overrides, &connection))
         });
     }
-    let (task_invoker, command_channel, cursor) = (invoker.clone(), Line::new(config.channel), config.cursor);
+    let (task_invoker, command_channel, cursor) =
+        (invoker.clone(), CommandChannel::new(config.channel), config.cursor);
     let reload = {
         let (command_channel, listen, settings) =
             (command_channel.clone(), config.listen, config.settings.clone());
@@ -227,21 +231,22 @@
         }
     };
     let channel = command_channel.clone();
-    spawn(move || channel::follow(&task_invoker, &command_channel, cursor));
+    spawn(move || command_channel::follow(&task_invoker, &command_channel, cursor));
     wait_until_in_sync(&overrides, &channel);
     let account = ledger.account(Purpose::Clients).clone();
-    let client_limits = ConnectionLimits { most: clients, stall: front::WRITE_STALL, account };
+    let client_limits =
+        ConnectionLimits { max_connections: clients, write_timeout: thrift_front::WRITE_STALL, account };
     let acceptor =
         Acceptor::open(config.listen, client_limits).map_err(|error| ConfigError::new("listen", error))?;
     // The other process may have exited since the limits were set.
     if limits.acceptor.set(acceptor.clone()).is_ok() {
         limits.share(overrides.succession().parts());
     }
-    let connection_handover = Arc::<Passage>::default();
+    let connection_handover = Arc::<HandoverSender>::default();
     let (task_invoker, task_acceptor, task_handover) =
         (invoker.clone(), acceptor.clone(), connection_handover.clone());
     spawn(move || {
-        task_acceptor.accept(move |connection| front::serve(&task_invoker, &task_handover, connection))
+        task_acceptor.accept(move |connection| thrift_front::serve(&task_invoker, &task_handover, connection))
     });
     let (task_invoker, task_acceptor) = (invoker.clone(), acceptor.clone());
     spawn(move || drain(&task_invoker, &task_acceptor));
@@ -251,9 +256,9 @@
         let resume = move |stream, owed: &[i32]| {
             task_acceptor
                 .take_over(stream)
-                .map(|connection| front::resume(&task_invoker, &task_handover, connection, owed))
+                .map(|connection| thrift_front::resume(&task_invoker, &task_handover, connection, owed))
         };
-        if let Err(error) = passage::listen(&slot.folder, slot.number, resume) {
+        if let Err(error) = connection_handover::listen(&slot.folder, slot.number, resume) {
             tracing::warn!(%error, "handover: no connections can be taken over");
         }
     }
@@ -263,12 +268,12 @@
         // successor by then.
         std::thread::sleep(OTHER_PROCESS_NOTICE_TIME);
     }
-    invoker.serving();
+    invoker.set_serving();
     let longest = longest_deadline(&config.settings).min(MAX_COUNTED_DEADLINE);
     let shutdown = Shutdown {
-        terms: || {
+        schedule: || {
             let succession = overrides.succession();
-            if succession.is_succeeded() {
+            if succession.has_ready_successor() {
                 // Accepts what waits in the listen queue; later clients connect to the successor.
                 acceptor.close();
                 let opened =
@@ -277,9 +282,12 @@
                     tracing::warn!(%error, "handover: no connections can be passed on");
                 }
             }
-            succession.ending(TERMS_WITHOUT_SUCCESSOR, ACCEPT_AFTER_SIGTERM_WITH_SUCCESSOR.as_millis() as f64)
+            succession.ending(
+                LEAVE_SCHEDULE_WITHOUT_SUCCESSOR,
+                ACCEPT_AFTER_SIGTERM_WITH_SUCCESSOR.as_millis() as f64,
+            )
         },
-        no_new_clients: || overrides.succession().is_succeeded() && acceptor.held() == 0,
+        no_new_clients: || overrides.succession().has_ready_successor() && acceptor.open_connections() == 0,
         acceptor: &acceptor,
         terminate_after: ACCEPT_AFTER_SIGTERM + longest.saturating_sub(FINAL_ANSWER_TIME),
     };
@@ -290,7 +298,7 @@
 
 /// Waits until this process knows the operators' overrides and the events of the command channel, as long as another
 /// process can serve meanwhile. Without another process it returns at once.
-fn wait_until_in_sync(overrides: &OverridesHandle, channel: &Line) {
+fn wait_until_in_sync(overrides: &OverridesHandle, channel: &CommandChannel) {
     let start = Instant::now();
     let has_other_process = || overrides.succession().other().is_some();
     let is_channel_silent = || !channel.is_heard() && start.elapsed() < MAX_CHANNEL_WAIT;
@@ -307,7 +315,7 @@
 fn drain(invoker: &Invoker, acceptor: &Acceptor) {
     loop {
         invoker.wait_for_leave();
-        if invoker.duty().lets_go(monotonic_ms()) {
+        if invoker.serving_state().closes_connections(monotonic_ms()) {
             acceptor.drain();
         }
         timers::sleep(DRAIN_POLL_INTERVAL);
@@ -322,7 +330,7 @@
 /// How a process shuts down.
 pub struct Shutdown<'a, T, O> {
     /// Begins the shutdown and returns its schedule for clients.
-    pub terms: T,
+    pub schedule: T,
     /// Whether no client can connect any more, so that the process can stop once no request is unanswered.
     pub no_new_clients: O,
     /// The acceptor of client connections, closed last.
@@ -334,7 +342,7 @@
 /// Handles signals on the main thread: SIGHUP reloads the configuration, SIGUSR1 logs the counters, any other signal
 /// stops the process. During shutdown requests are accepted for a short time, and accepted requests get time to finish;
 /// SIGHUP and SIGUSR1 are still handled until then.
-pub fn serve_until_signalled<T: FnOnce() -> Terms, O: Fn() -> bool>(
+pub fn serve_until_signalled<T: FnOnce() -> LeaveSchedule, O: Fn() -> bool>(
     invoker: &Arc<Invoker>,
     signals: &mut Signals,
     reload: impl Fn() -> Result<(), ConfigError>,
@@ -343,7 +351,8 @@
     let handle = |signal| match signal {
         SIGUSR1 => {
             tracing::info!("{}", invoker.counters);
-            let (suspended, leaving) = (invoker.bans().out().count(), invoker.duty().leaving());
+            let (suspended, leaving) =
+                (invoker.host_overrides().out().count(), invoker.serving_state().leaving());
             tracing::info!(suspended, ?leaving, "operators' overrides");
             accounts::log(invoker);
             true
@@ -359,36 +368,39 @@
     };
     while signals.wait().all(handle) {}
     let shutdown_start = Instant::now();
-    let terms = (shutdown.terms)();
-    invoker.leave(Leave::Ending, terms);
-    let accepting = Duration::from_secs_f64(terms.refuse / 1000.0);
+    let schedule = (shutdown.schedule)();
+    invoker.start_leaving(Leave::Ending, schedule);
+    let accepting = Duration::from_secs_f64(schedule.refuse_requests_at / 1000.0);
     let mut handle_pending = || signals.pending().for_each(|signal| _ = handle(signal));
-    while shutdown_start.elapsed() < accepting && !((shutdown.no_new_clients)() && invoker.owed() == 0) {
+    while shutdown_start.elapsed() < accepting && !((shutdown.no_new_clients)() && invoker.unanswered() == 0)
+    {
         std::thread::sleep(SHUTDOWN_POLL_INTERVAL);
         handle_pending();
     }
     let remaining = |limit: Duration| limit.saturating_sub(shutdown_start.elapsed());
-    let mut all_answered = invoker.settle(SHUTDOWN_POLL_INTERVAL.min(remaining(shutdown.terminate_after)));
+    let mut all_answered =
+        invoker.wait_until_answered(SHUTDOWN_POLL_INTERVAL.min(remaining(shutdown.terminate_after)));
     while !all_answered && !remaining(shutdown.terminate_after).is_zero() {
         handle_pending();
-        all_answered = invoker.settle(SHUTDOWN_POLL_INTERVAL.min(remaining(shutdown.terminate_after)));
+        all_answered =
+            invoker.wait_until_answered(SHUTDOWN_POLL_INTERVAL.min(remaining(shutdown.terminate_after)));
     }
     let all_answered = all_answered || {
         invoker.end_all();
-        invoker.settle(FINAL_ANSWER_TIME / 2)
+        invoker.wait_until_answered(FINAL_ANSWER_TIME / 2)
     };
     shutdown
         .acceptor
-        .wind_up(MAX_CLOSE_TIME.min(remaining(shutdown.terminate_after + 3 * FINAL_ANSWER_TIME / 4)));
+        .shut_down(MAX_CLOSE_TIME.min(remaining(shutdown.terminate_after + 3 * FINAL_ANSWER_TIME / 4)));
     tracing::info!("{}", invoker.counters);
     all_answered
 }
 
 /// The shutdown schedule of a process without a successor.
-pub const TERMS_WITHOUT_SUCCESSOR: Terms = Terms {
-    let_go: ACCEPT_AFTER_SIGTERM.as_millis() as f64,
-    refuse: ACCEPT_AFTER_SIGTERM.as_millis() as f64,
-    gone: None,
+pub const LEAVE_SCHEDULE_WITHOUT_SUCCESSOR: LeaveSchedule = LeaveSchedule {
+    close_connections_at: ACCEPT_AFTER_SIGTERM.as_millis() as f64,
+    refuse_requests_at: ACCEPT_AFTER_SIGTERM.as_millis() as f64,
+    all_closed_by: None,
 };
 
 /// The longest deadline of any class, from the settings object: 1 s if none is longer.
--- a/crates/node/src/life/service.rs
+++ b/crates/node/src/lifecycle/service.rs
@@ -3,21 +3,21 @@
 use super::deploy::{Deploy, Protocol, Style};
 use super::platform::{
     longest_deadline, serve_until_signalled, signals, split_descriptors, worker_limits, Shutdown,
-    ACCEPT_AFTER_SIGTERM, TERMS_WITHOUT_SUCCESSOR,
+    ACCEPT_AFTER_SIGTERM, LEAVE_SCHEDULE_WITHOUT_SUCCESSOR,
 };
 use super::{accounts, spawn};
 use crate::core::{Invoker, Workers};
-use crate::memory::catalog::{Catalog, CatalogError, Worker};
-use crate::memory::invocations::Invocations;
-use crate::memory::seeds::SeedEntry;
-use crate::memory::store::{KeptAfterRestart, Store, StoreError};
+use crate::state::catalog::{Catalog, CatalogError, Worker};
+use crate::state::deploy_entries::DeployEntry;
+use crate::state::invocations::Invocations;
+use crate::state::store::{RestartRetention, Store, StoreError};
 use crate::timers;
 use crate::wire::accept::{Acceptor, ConnectionLimits};
 use crate::wire::feed::{self, FeedRole, Role};
 use crate::wire::http_workers::{self, HttpWorkers};
 use crate::wire::invoke::{self, InvokeApi};
-use crate::wire::news::OnNews;
-use crate::wire::replicate;
+use crate::wire::record_changes::OnRecordChanges;
+use crate::wire::replication;
 use crate::wire::workers::FrameWorkers;
 use corkbay_ledger::{Account, Ledger, Purpose};
 use serde_json::Value;
@@ -37,10 +37,10 @@
 /// Bounds on how long records are kept after a restart, as the wall clock may have been stepped while no process ran.
 /// An idempotency key is kept for its window at least, an outcome for long enough to be fetched, and neither for
 /// longer than it could have been kept without a step.
-fn kept_after_restart(deploy: &Deploy) -> KeptAfterRestart {
+fn kept_after_restart(deploy: &Deploy) -> RestartRetention {
     let spans = deploy.classes.iter().map(|class| class.give_up_ms + class.dedup_window_ms);
     let longest_ms = spans.fold(0.0, f64::max);
-    KeptAfterRestart {
+    RestartRetention {
         least: longest_ms.max(MIN_OUTCOME_RETENTION.as_secs_f64() * 1000.0),
         most: longest_ms.max(MIN_OUTCOME_RETENTION.as_secs_f64() * 1000.0) + deploy.retention_s * 1000.0,
     }
@@ -86,7 +86,8 @@
     let RecordTargets { catalog, invocations, .. } = targets;
     let api = Arc::new(InvokeApi { invoker: invoker.clone(), invocations, catalog, role });
     let account = ledger.account(Purpose::Clients).clone();
-    let client_limits = ConnectionLimits { most: clients, stall: invoke::WRITE_STALL, account };
+    let client_limits =
+        ConnectionLimits { max_connections: clients, write_timeout: invoke::WRITE_STALL, account };
     let acceptor = Acceptor::open(deploy.listen, client_limits).map_err(|e| at("listen")(&e))?;
     let bound = acceptor.address().map_err(|e| at("listen")(&e))?;
     spawn(move || loop {
@@ -102,14 +103,14 @@
     // A reload applies functions, workers and memory caps; all other settings take effect at the next start.
     let reload = || {
         let next = Deploy::load(path)?;
-        ledger.adopt(&accounts::deploy_budget(&next.memory_settings(), base_bytes)?);
+        ledger.apply_budget(&accounts::deploy_budget(&next.memory_settings(), base_bytes)?);
         seed(&api.catalog, &next)?;
         api.catalog.announce(&api.invoker);
         Ok(())
     };
     let terminate_after = ACCEPT_AFTER_SIGTERM + longest_deadline(&settings) + FINAL_ANSWER_TIME;
     let shutdown = Shutdown {
-        terms: || TERMS_WITHOUT_SUCCESSOR,
+        schedule: || LEAVE_SCHEDULE_WITHOUT_SUCCESSOR,
         no_new_clients: || false,
         acceptor: &acceptor,
         terminate_after,
@@ -126,7 +127,7 @@
 
 impl RecordTargets {
     /// The handler that runs when such records have arrived.
-    fn on_news(&self) -> OnNews {
+    fn on_record_changes(&self) -> OnRecordChanges {
         let invoker = self.invoker.clone();
         let catalog = self.catalog.clone();
         let invocations = self.invocations.clone();
@@ -146,10 +147,11 @@
     let mut role = Role::default();
     if let Some(replication) = &deploy.replication {
         let at = |error| ConfigError::new("replication.listen", error);
-        let acceptor = replicate::open(replication.listen, store, replication.peers.len()).map_err(at)?;
+        let acceptor = replication::open(replication.listen, store, replication.peers.len()).map_err(at)?;
         println!("replication on {}", acceptor.address().map_err(at)?);
         let interval = Duration::from_millis(replication.interval_ms);
-        let mesh = replicate::start(store, acceptor, &replication.peers, interval, targets.on_news());
+        let mesh =
+            replication::start(store, acceptor, &replication.peers, interval, targets.on_record_changes());
         role.mesh = Some(mesh);
     }
     if let Some(settings) = &deploy.feed {
@@ -160,7 +162,7 @@
     }
     if let Some(settings) = &deploy.follow {
         let options = settings.options(&deploy.zone);
-        let follower = feed::follow(store.clone(), options, targets.on_news());
+        let follower = feed::follow(store.clone(), options, targets.on_record_changes());
         let follower = follower.map_err(|error| ConfigError::new("follow.control", error))?;
         role.feed = FeedRole::Follower(follower);
     }
@@ -171,7 +173,7 @@
 fn seed(catalog: &Catalog, deploy: &Deploy) -> Result<(), ConfigError> {
     let mut entries = Vec::with_capacity(deploy.functions.len() + deploy.workers.len());
     for function in &deploy.functions {
-        entries.push(SeedEntry::function(&function.name, &function.function()).map_err(entry_error)?);
+        entries.push(DeployEntry::function(&function.name, &function.function()).map_err(entry_error)?);
     }
     for entry in &deploy.workers {
         let worker = Worker {
@@ -182,7 +184,7 @@
             weight: entry.weight,
             state: entry.state,
         };
-        entries.push(SeedEntry::worker(&entry.name, &worker).map_err(entry_error)?);
+        entries.push(DeployEntry::worker(&entry.name, &worker).map_err(entry_error)?);
     }
     catalog.seed(entries).map_err(entry_error)
 }
--- a/crates/node/src/memory/catalog.rs
+++ b/crates/node/src/state/catalog.rs
@@ -2,11 +2,11 @@
 use super::hash::fnv1a;
 use super::keys::{FUNCTION, WORKER};
 use super::record::{Record, Text};
-use super::roster::Listing;
+use super::roster::WorkerListing;
 use super::store::{Draft, Store, StoreError};
 use crate::clock::UnixTime;
 use crate::core::Invoker;
-use corkbay::{ModelId, Ms, Standing};
+use corkbay::{ModelId, Ms, WorkerState};
 use serde::{de::DeserializeOwned, Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt;
@@ -145,12 +145,12 @@
 
     /// All functions by name, to be written as a JSON object.
     pub fn functions(&self) -> Object {
-        Object { records: self.store.under(FUNCTION), prefix_bytes: FUNCTION.len() }
+        Object { records: self.store.records_with_prefix(FUNCTION), prefix_bytes: FUNCTION.len() }
     }
 
     /// All workers by name, to be written as a JSON object.
     pub fn listed_workers(&self) -> Object {
-        Object { records: self.store.under(WORKER), prefix_bytes: WORKER.len() }
+        Object { records: self.store.records_with_prefix(WORKER), prefix_bytes: WORKER.len() }
     }
 
     /// The worker with this name.
@@ -195,13 +195,13 @@
     /// Passes the complete list of workers to the invoker.
     pub fn announce(&self, invoker: &Arc<Invoker>) {
         let listings = self.workers().into_iter().map(|(name, worker)| listing(name, worker));
-        invoker.news(listings.collect(), true, false);
+        invoker.update_roster(listings.collect(), true, false);
     }
 
     /// Passes one added or changed worker to the invoker.
     pub fn announce_worker(&self, invoker: &Arc<Invoker>, name: &str) {
         match self.worker(name) {
-            Some(worker) => invoker.news(vec![listing(name.to_string(), worker)], false, false),
+            Some(worker) => invoker.update_roster(vec![listing(name.to_string(), worker)], false, false),
             // Removed in the meantime.
             None => self.announce(invoker),
         }
@@ -213,7 +213,7 @@
     }
 
     fn all<T: DeserializeOwned>(&self, prefix: &str) -> BTreeMap<String, T> {
-        let records = self.store.under(prefix).into_iter();
+        let records = self.store.records_with_prefix(prefix).into_iter();
         let entry = |record: Record| {
             let name = record.key.strip_prefix(prefix)?.to_string();
             Some((name, record.value?.read().ok()?))
@@ -222,21 +222,21 @@
     }
 }
 
-fn listing(name: String, worker: Worker) -> Listing {
-    Listing {
+fn listing(name: String, worker: Worker) -> WorkerListing {
+    WorkerListing {
         name,
         address: worker.address,
         zone: worker.zone,
         kind: worker.kind,
         cell: worker.cell,
-        standing: match worker.state {
-            State::Up => Standing::Ready,
-            State::Draining => Standing::Draining,
-            State::Removed => Standing::Gone,
+        state: match worker.state {
+            State::Up => WorkerState::Ready,
+            State::Draining => WorkerState::Draining,
+            State::Removed => WorkerState::Removed,
         },
         weight: worker.weight,
         since: UnixTime::NONE,
-        heard_without: Ms::NEG_INFINITY,
+        last_contact_without_report: Ms::NEG_INFINITY,
     }
 }
 
--- a/crates/node/src/memory/roster.rs
+++ b/crates/node/src/state/roster.rs
@@ -1,10 +1,10 @@
 //! The known workers. Combines the list from the command channel with the operators' overrides into the roster that the
 //! decision logic receives, and into whether work may be sent to each worker.
-use super::starts::{MonotonicReadings, ReportTime, ReportedStart};
+use super::start_times::{MonotonicReadings, ReportTime, ReportedStart};
 use crate::clock::{monotonic_ms, UnixTime};
-use corkbay::{position, Ms, Names, Roster, RosterEntry, Standing, WorkerId};
-use corkbay_duty::Bans;
-use corkbay_ledger::pressure::{decide, Case, Decision};
+use corkbay::{position, Ms, Names, RosterEntry, RosterUpdate, WorkerId, WorkerState};
+use corkbay_duty::HostOverrides;
+use corkbay_ledger::pressure::{decide_at_cap, Decision, FullAccount};
 use corkbay_ledger::{Account, Purpose, Reservation};
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -14,7 +14,7 @@
 
 /// One entry of the list of workers, with zone and kind by name as on the wire.
 #[derive(Clone, Debug)]
-pub struct Listing {
+pub struct WorkerListing {
     /// Name of the worker; a replacement machine has a new name.
     pub name: String,
     /// Where it listens.
@@ -26,14 +26,14 @@
     /// Number of its cell (rack).
     pub cell: i64,
     /// Whether it accepts work.
-    pub standing: Standing,
+    pub state: WorkerState,
     /// Capacity relative to other workers; 1.0 is nominal.
     pub weight: f64,
     /// When it last started, by the sender's wall clock; [`UnixTime::NONE`] for long ago.
     pub since: UnixTime,
     /// When the sender was last in contact without this report, on the monotonic clock in milliseconds; minus infinity if
     /// never.
-    pub heard_without: Ms,
+    pub last_contact_without_report: Ms,
 }
 
 /// One worker. A new name at a known address is another worker, with its own connections.
@@ -45,25 +45,25 @@
     pub name: String,
     /// Where it listens.
     pub address: SocketAddr,
-    barred: AtomicBool,
+    blocked: AtomicBool,
     suspended: AtomicBool,
 }
 
 impl Host {
     /// A host that accepts work.
     pub fn new(id: WorkerId, name: &str, address: SocketAddr) -> Arc<Self> {
-        let (barred, suspended) = (AtomicBool::new(false), AtomicBool::new(false));
-        Arc::new(Host { id, name: name.to_string(), address, barred, suspended })
+        let (blocked, suspended) = (AtomicBool::new(false), AtomicBool::new(false));
+        Arc::new(Host { id, name: name.to_string(), address, blocked, suspended })
     }
 
     /// Whether no new work may be sent to it, as it is draining, gone or suspended.
-    pub fn barred(&self) -> bool {
-        self.barred.load(Ordering::Acquire)
+    pub fn is_blocked(&self) -> bool {
+        self.blocked.load(Ordering::Acquire)
     }
 
     /// Sets whether new work is blocked.
-    pub fn bar(&self, barred: bool) {
-        self.barred.store(barred, Ordering::Release);
+    pub fn set_blocked(&self, blocked: bool) {
+        self.blocked.store(blocked, Ordering::Release);
     }
 
     /// Sets whether operators have suspended it.
@@ -86,23 +86,23 @@
 
 impl KnownWorker {
     /// The roster entry for the decision logic, with the operators' overrides applied. Also updates the flags of the host.
-    fn effective_entry(&self, bans: &Bans) -> RosterEntry {
+    fn effective_entry(&self, host_overrides: &HostOverrides) -> RosterEntry {
         let mut entry = self.listed.clone();
-        let is_suspended = bans.is_out(&entry.name);
-        if is_suspended && entry.standing == Standing::Ready {
-            entry.standing = Standing::Draining;
+        let is_suspended = host_overrides.is_suspended(&entry.name);
+        if is_suspended && entry.state == WorkerState::Ready {
+            entry.state = WorkerState::Draining;
         }
         // A host is restarted while it is suspended; the list may still report an earlier start.
-        entry.born = entry.born.max(bans.back_at(&entry.name).unwrap_or(0.0));
+        entry.started_at = entry.started_at.max(host_overrides.resumed_at(&entry.name).unwrap_or(0.0));
         self.host.suspend(is_suspended);
-        self.host.bar(entry.standing != Standing::Ready);
+        self.host.set_blocked(entry.state != WorkerState::Ready);
         entry
     }
 }
 
 /// Why an operator's override on a host is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum BanError {
+pub enum SuspensionError {
     /// The host was never listed.
     Unknown,
     /// There is no room to store another name.
@@ -115,7 +115,7 @@
 const MAX_FORGOTTEN_NAMES: usize = 4096;
 
 /// The known workers, by name and by id. Ids are not reused.
-pub struct Directory {
+pub struct WorkerDirectory {
     zones: Vec<String>,
     kinds: Vec<String>,
     hosts: HashMap<WorkerId, KnownWorker>,
@@ -126,29 +126,29 @@
     gone: VecDeque<WorkerId>,
     /// Hashes of the names of dropped workers.
     forgotten: VecDeque<u64>,
-    bans: Bans,
-    bans_held: Reservation,
+    host_overrides: HostOverrides,
+    host_overrides_held: Reservation,
 }
 
-impl Directory {
+impl WorkerDirectory {
     /// An empty directory that resolves names of zones and kinds, and charges its memory to an account.
     pub fn new(names: &Names, account: &Account) -> Self {
-        Directory {
+        WorkerDirectory {
             zones: names.zones.clone(),
             kinds: names.kinds.clone(),
             hosts: HashMap::new(),
             ids_by_name: HashMap::new(),
             next_id: 0,
-            held: account.nothing(),
+            held: account.empty_reservation(),
             gone: VecDeque::new(),
             forgotten: VecDeque::new(),
-            bans: Bans::default(),
-            bans_held: account.nothing(),
+            host_overrides: HostOverrides::default(),
+            host_overrides_held: account.empty_reservation(),
         }
     }
 
     /// Number of workers that will be known after these listings are applied; `whole` if the list is complete.
-    pub fn known_after(&self, listings: &[Listing], whole: bool) -> usize {
+    pub fn known_after(&self, listings: &[WorkerListing], whole: bool) -> usize {
         if whole {
             return listings.len() + self.gone.len();
         }
@@ -162,43 +162,46 @@
     }
 
     /// The operators' overrides on hosts.
-    pub fn bans(&self) -> &Bans {
-        &self.bans
+    pub fn host_overrides(&self) -> &HostOverrides {
+        &self.host_overrides
     }
 
     /// Checks whether a host can be suspended: it was listed before, and there is room for its name.
-    pub fn may_suspend(&mut self, name: &str) -> Result<(), BanError> {
-        self.may_resume(name)?;
-        let bytes = self.bans.bytes() + Bans::cost(name);
-        if !self.bans.is_out(name) && self.bans_held.resize(bytes).is_err() {
-            return Err(BanError::NoRoom);
+    pub fn check_suspend(&mut self, name: &str) -> Result<(), SuspensionError> {
+        self.check_resume(name)?;
+        let bytes = self.host_overrides.bytes() + HostOverrides::cost(name);
+        if !self.host_overrides.is_suspended(name) && self.host_overrides_held.resize(bytes).is_err() {
+            return Err(SuspensionError::NoRoom);
         }
         Ok(())
     }
 
     /// Checks whether a host can be resumed: it was listed before.
-    pub fn may_resume(&self, name: &str) -> Result<(), BanError> {
-        let known = self.ids_by_name.contains_key(name) || self.bans.is_out(name);
+    pub fn check_resume(&self, name: &str) -> Result<(), SuspensionError> {
+        let known = self.ids_by_name.contains_key(name) || self.host_overrides.is_suspended(name);
         let listed = known || self.forgotten.contains(&hash(name));
-        listed.then_some(()).ok_or(BanError::Unknown)
+        listed.then_some(()).ok_or(SuspensionError::Unknown)
     }
 
     /// Replaces the operators' overrides on all hosts; returns the roster entries of the hosts whose override has changed.
-    pub fn adopt(&mut self, bans: Bans) -> Roster {
-        let before = std::mem::replace(&mut self.bans, bans);
-        self.bans_held.owe(self.bans.bytes());
+    pub fn set_host_overrides(&mut self, host_overrides: HostOverrides) -> RosterUpdate {
+        let before = std::mem::replace(&mut self.host_overrides, host_overrides);
+        self.host_overrides_held.reserve_over_cap(self.host_overrides.bytes());
         let changed = self.hosts.values().filter(|known| {
-            let override_of = |bans: &Bans| (bans.is_out(&known.host.name), bans.back_at(&known.host.name));
-            override_of(&before) != override_of(&self.bans)
+            let override_of = |host_overrides: &HostOverrides| {
+                (host_overrides.is_suspended(&known.host.name), host_overrides.resumed_at(&known.host.name))
+            };
+            override_of(&before) != override_of(&self.host_overrides)
         });
-        let mut entries: Vec<RosterEntry> = changed.map(|known| known.effective_entry(&self.bans)).collect();
+        let mut entries: Vec<RosterEntry> =
+            changed.map(|known| known.effective_entry(&self.host_overrides)).collect();
         entries.sort_unstable_by_key(|entry| entry.worker);
-        Roster::Changes(entries)
+        RosterUpdate::Changes(entries)
     }
 
     /// Applies listings and returns them as a roster for the decision logic. If the list is complete (`whole`), workers that
     /// it does not contain are marked as gone. `remembered` marks the last list of an earlier process.
-    pub fn apply(&mut self, listings: Vec<Listing>, whole: bool, remembered: bool) -> Roster {
+    pub fn apply(&mut self, listings: Vec<WorkerListing>, whole: bool, remembered: bool) -> RosterUpdate {
         let count = listings.len();
         let entries: Vec<RosterEntry> =
             listings.into_iter().filter_map(|listing| self.entry(listing)).collect();
@@ -213,15 +216,15 @@
         if whole {
             self.mark_missing_as_gone(&listed);
         }
-        let gone = entries.iter().filter(|entry| entry.standing == Standing::Gone);
+        let gone = entries.iter().filter(|entry| entry.state == WorkerState::Removed);
         self.gone.extend(gone.map(|entry| entry.worker));
         while self.gone.len() > MAX_GONE_WORKERS {
             self.drop_longest_gone();
         }
         match (whole, remembered) {
-            (true, true) => Roster::Remembered(entries),
-            (true, false) => Roster::Whole(entries),
-            (false, _) => Roster::Changes(entries),
+            (true, true) => RosterUpdate::Stored(entries),
+            (true, false) => RosterUpdate::Complete(entries),
+            (false, _) => RosterUpdate::Changes(entries),
         }
     }
 
@@ -229,9 +232,9 @@
     fn mark_missing_as_gone(&mut self, listed: &HashSet<WorkerId>) {
         let mut missing = Vec::new();
         for (id, known) in &mut self.hosts {
-            if !listed.contains(id) && known.listed.standing != Standing::Gone {
-                known.listed.standing = Standing::Gone;
-                known.host.bar(true);
+            if !listed.contains(id) && known.listed.state != WorkerState::Removed {
+                known.listed.state = WorkerState::Removed;
+                known.host.set_blocked(true);
                 missing.push(*id);
             }
         }
@@ -259,7 +262,7 @@
             let Err(full) = self.held.resize(self.held.bytes() + asked) else { return true };
             let idle = self.gone.len() * asked;
             let (purpose, cap) = (Purpose::Roster, full.cap);
-            match decide(&Case { purpose, asked, cap, idle, frees_in: None, waited: 0.0 }) {
+            match decide_at_cap(&FullAccount { purpose, asked, cap, idle, frees_in: None, waited: 0.0 }) {
                 Decision::Evict { .. } => self.drop_longest_gone(),
                 Decision::Wait { .. } | Decision::Refuse { .. } => return false,
             }
@@ -268,7 +271,7 @@
 
     /// The roster entry of a listed worker; `None` if the worker is new and there is no room for it. Updates of known
     /// workers are always applied.
-    fn entry(&mut self, listing: Listing) -> Option<RosterEntry> {
+    fn entry(&mut self, listing: WorkerListing) -> Option<RosterEntry> {
         if !self.ids_by_name.contains_key(&listing.name) && !self.reserve_for_new(&listing.name) {
             return None;
         }
@@ -276,7 +279,10 @@
             self.next_id += 1;
             WorkerId(self.next_id - 1)
         });
-        let report = ReportTime { now: monotonic_ms(), heard_without: listing.heard_without };
+        let report = ReportTime {
+            now: monotonic_ms(),
+            last_contact_without_report: listing.last_contact_without_report,
+        };
         let before = self.hosts.get(&id).map(|known| known.start);
         let start =
             ReportedStart::interpret(listing.since, MonotonicReadings::of(listing.since), report, before);
@@ -286,20 +292,20 @@
             kind: position(&self.kinds, &listing.kind).unwrap_or(usize::MAX),
             name: listing.name,
             cell: listing.cell,
-            standing: listing.standing,
+            state: listing.state,
             weight: listing.weight,
-            born: start.started,
+            started_at: start.started,
         };
         let host = match self.hosts.remove(&id).map(|known| known.host) {
             Some(host) if host.address == listing.address => host,
             before => {
                 // The worker has moved to another address: connections to the old address must not be used for it.
-                before.into_iter().for_each(|host| host.bar(true));
+                before.into_iter().for_each(|host| host.set_blocked(true));
                 Host::new(id, &listed.name, listing.address)
             }
         };
         let known = self.hosts.entry(id).or_insert(KnownWorker { host, listed, start });
-        Some(known.effective_entry(&self.bans))
+        Some(known.effective_entry(&self.host_overrides))
     }
 }
 
--- a/crates/node/src/wire/passage.rs
+++ b/crates/node/src/wire/connection_handover.rs
@@ -5,7 +5,7 @@
 //! and later their answers. From then on only the successor reads from and writes to the client. Each side uses a thread:
 //! descriptors are ancillary data (`SCM_RIGHTS`), which coroutines can't wait for.
 use crate::core::lock;
-use corkbay_duty::{Head, Message, HEAD};
+use corkbay_duty::{Message, MessageHeader, HEADER_BYTES};
 use may::sync::{mpsc as coroutine_mpsc, Mutex};
 use rustix::net::{
     recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
@@ -44,9 +44,9 @@
     End { message: Message, held: Box<dyn Send> },
 }
 
-/// The channel to the successor; closed until [`Passage::open`] succeeds.
+/// The channel to the successor; closed until [`HandoverSender::open`] succeeds.
 #[derive(Default)]
-pub struct Passage {
+pub struct HandoverSender {
     sender: Mutex<Option<(Sender<Command>, JoinHandle<()>)>>,
     next_number: AtomicU64,
     /// Locked while a connection is sent, since a second descriptor of it is open until then. At most one such duplicate
@@ -60,7 +60,7 @@
     commands: Sender<Command>,
 }
 
-impl Passage {
+impl HandoverSender {
     /// Connects to the process with that slot number.
     pub fn open(&self, directory: &Path, slot: usize) -> io::Result<()> {
         let directory = File::open(directory)?;
@@ -128,7 +128,7 @@
     for command in queue {
         match command {
             Command::Connection { stream: descriptor, number, unanswered, sent } => {
-                let bytes = Message::Connection { number, owed: unanswered }.encode();
+                let bytes = Message::Connection { number, unanswered }.encode();
                 let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
                 let mut ancillary = SendAncillaryBuffer::new(&mut space);
                 let descriptors = [descriptor.as_fd()];
@@ -179,18 +179,18 @@
     connections: &mut HashMap<u64, A>,
     take_over: impl Fn(TcpStream, &[i32]) -> io::Result<A>,
 ) -> io::Result<()> {
-    let mut head = [0; HEAD];
+    let mut head = [0; HEADER_BYTES];
     loop {
         let (size, descriptor) = receive(stream, &mut head)?;
         if size == 0 {
             return Ok(());
         }
         stream.read_exact(&mut head[size..])?;
-        let head = Head::decode(&head).map_err(io::Error::other)?;
+        let head = MessageHeader::decode(&head).map_err(io::Error::other)?;
         let mut body = vec![0; head.length()];
         stream.read_exact(&mut body)?;
         match (head.message(body), descriptor) {
-            (Message::Connection { number, owed: unanswered }, Some(descriptor)) => {
+            (Message::Connection { number, unanswered }, Some(descriptor)) => {
                 _ = connections.insert(number, take_over(descriptor.into(), &unanswered)?);
             }
             (Message::Connection { .. }, None) => {
--- a/crates/node/src/wire/feed/server.rs
+++ b/crates/node/src/wire/feed/server.rs
@@ -2,13 +2,13 @@
 use super::records::ConfigurationRecords;
 use super::session::Session;
 use crate::core::{lock, monotonic_ms, UnixTime};
-use crate::life::spawn;
-use crate::memory::record::Record;
-use crate::memory::store::Store;
+use crate::lifecycle::spawn;
+use crate::state::record::Record;
+use crate::state::store::Store;
 use crate::timers;
 use crate::wire::accept::{Acceptor, Connection, ConnectionLimits};
 use crate::wire::framing::{self, FramingError};
-use crate::wire::index::{RecordIndex, Scope};
+use crate::wire::record_index::{RecordIndex, Scope};
 use corkbay::Ms;
 use corkbay_feed::{
     CloseReason, Feed, FeedAction, FeedCounters, FeedLimits, FollowerLag, FollowerMessage, Position,
@@ -45,7 +45,7 @@
 pub fn open(address: SocketAddr, store: &Store, followers: usize) -> io::Result<Arc<Acceptor>> {
     let account = store.ledger().account(Purpose::Replication).clone();
     let most = followers + SPARE_CONNECTIONS;
-    Acceptor::open(address, ConnectionLimits { most, stall: WRITE_STALL, account })
+    Acceptor::open(address, ConnectionLimits { max_connections: most, write_timeout: WRITE_STALL, account })
 }
 
 /// Serves the configuration of a store to followers for as long as the process lives.
@@ -167,7 +167,7 @@
     /// Serves a follower's connection until it ends.
     fn serve(self: &Arc<Self>, connection: Arc<Connection>) {
         // Counted as busy for its lifetime, so that an idle follower is not evicted.
-        connection.opened();
+        connection.request_started();
         let number = SessionNumber(self.next_session.fetch_add(1, Relaxed));
         let session = Arc::new(Session::new(connection.clone()));
         {
@@ -198,7 +198,7 @@
         connection: &Connection,
     ) -> Result<(), FramingError> {
         loop {
-            let mut socket = connection.patient(READ_TIMEOUT);
+            let mut socket = connection.with_read_timeout(READ_TIMEOUT);
             let received =
                 framing::receive::<FollowerMessage>(self.account(), &mut socket, MAX_FOLLOWER_MESSAGE_BYTES)?;
             self.received_bytes.fetch_add(received.bytes as u64, Relaxed);
--- a/crates/node/src/wire/invoke/routes.rs
+++ b/crates/node/src/wire/invoke/routes.rs
@@ -2,8 +2,8 @@
 use super::calls::Admitted;
 use super::responses::{change_response, json_response, no_room, problem, read_only_response, refused};
 use super::{InvokeApi, RouteResult};
-use crate::memory::catalog::{CatalogError, Function, Object, Worker};
-use crate::memory::room::grow;
+use crate::state::catalog::{CatalogError, Function, Object, Worker};
+use crate::state::memory_wait::resize_or_wait;
 use crate::wire::accept::Connection;
 use crate::wire::http::{RequestHead, Response};
 use crate::wire::metrics;
@@ -34,8 +34,8 @@
         return RouteResult::Respond(read_only_response(&read_only));
     }
     RouteResult::Respond(match (head.method.as_str(), segments.as_slice()) {
-        ("POST", ["v1", "functions", _, "invocations"]) if connection.is_turned_away() => {
-            api.invoker.counters.turned_away.add();
+        ("POST", ["v1", "functions", _, "invocations"]) if connection.is_beyond_limit() => {
+            api.invoker.counters.turned_away.increment();
             refused("there is no room for another connection", Some(CROWDED_RETRY_AFTER_MS))
         }
         ("POST", ["v1", "functions", function, "invocations"]) => {
@@ -105,9 +105,9 @@
 
 /// Responds with a list of configuration entries, if there is memory for it.
 fn list_response(entries: Object, connection: &Connection) -> RouteResult {
-    let mut reservation = connection.account().nothing();
+    let mut reservation = connection.account().empty_reservation();
     // The text is held twice: by itself and in the encoded response.
-    match grow(&mut reservation, Purpose::Clients, 2 * entries.size()) {
+    match resize_or_wait(&mut reservation, Purpose::Clients, 2 * entries.size()) {
         Ok(()) => {
             RouteResult::Counted(Response::new(200, "application/json", entries.into_text()), reservation)
         }
--- a/crates/node/src/wire/operators.rs
+++ b/crates/node/src/wire/operators.rs
@@ -2,9 +2,9 @@
 //! gets no answer.
 use super::accept::Connection;
 use super::http::{HttpError, RequestHead, Response};
-use super::intake::{Intake, CHUNK};
-use crate::core::{monotonic_ms, until, Invoker};
-use crate::life::handover::{CommandError, OperatorCommand, OverridesHandle};
+use super::receive_buffer::{ReceiveBuffer, CHUNK};
+use crate::core::{monotonic_ms, time_until, Invoker};
+use crate::lifecycle::handover::{CommandError, OperatorCommand, OverridesHandle};
 use corkbay::Ms;
 use corkbay_duty::Leave;
 use corkbay_ledger::Purpose;
@@ -53,7 +53,7 @@
 pub fn serve(invoker: &Arc<Invoker>, overrides: &OverridesHandle, connection: &Arc<Connection>) {
     let Some(response) = serve_call(invoker, overrides, connection) else { return };
     let counters = &invoker.counters;
-    if response.status < 300 { &counters.operators_yes } else { &counters.operators_no }.add();
+    if response.status < 300 { &counters.operators_yes } else { &counters.operators_no }.increment();
     if connection.answer(&response.encode(false)).is_ok() {
         connection.linger(LINGER);
     }
@@ -67,10 +67,13 @@
     connection: &Arc<Connection>,
 ) -> Option<Response> {
     let (mut receive_buffer, mut chunk) =
-        (Intake::new(connection.account(), Purpose::Operators), vec![0; CHUNK]);
+        (ReceiveBuffer::new(connection.account(), Purpose::Operators), vec![0; CHUNK]);
     let end = monotonic_ms() + REQUEST_TIMEOUT_MS;
-    let mut fill = |receive_buffer: &mut Intake| match receive_buffer.fill(connection, &mut chunk, until(end))
-    {
+    let mut fill = |receive_buffer: &mut ReceiveBuffer| match receive_buffer.fill(
+        connection,
+        &mut chunk,
+        time_until(end),
+    ) {
         Ok(1..) if monotonic_ms() < end => Some(()),
         _ => None,
     };
@@ -100,7 +103,7 @@
                 }
             };
             let [yes, no] = &invoker.counters.operators[call.counter_index()];
-            if status < 300 { yes } else { no }.add();
+            if status < 300 { yes } else { no }.increment();
             Response::new(status, "application/json", body_json.to_string().into_bytes())
         }
         Err(response) => response,
@@ -147,7 +150,7 @@
 /// Whether this process can serve. A drain by the operators doesn't make it unready, and is reported at the clients'
 /// address instead: otherwise the successor of a drained process would never count as ready.
 fn readiness(invoker: &Invoker) -> CallReply {
-    match invoker.duty().leaving() {
+    match invoker.serving_state().leaving() {
         _ if !invoker.is_serving() => {
             CallReply(503, json!({"ready": false, "detail": "this process is starting"}))
         }
--- a/crates/node/src/wire/index.rs
+++ b/crates/node/src/wire/record_index.rs
@@ -2,9 +2,9 @@
 //!
 //! Nodes with equal hashes hold the same records; otherwise the hashes show which buckets differ.
 use crate::clock::UnixTime;
-use crate::memory::keys::{is_node_local, CONFIGURATION};
-use crate::memory::record::Record;
-use crate::memory::store::Store;
+use crate::state::keys::{is_node_local, CONFIGURATION};
+use crate::state::record::Record;
+use crate::state::store::Store;
 use corkbay_feed::{stable_hash, BucketHashes, BucketIndex, BucketNumber, FeedRecord, BUCKETS};
 use corkbay_ledger::{Ledger, Purpose, Reservation};
 use may::sync::mpsc;
@@ -222,8 +222,9 @@
 impl HeldByPurpose {
     fn add(&mut self, purpose: Purpose) {
         let ledger = &self.ledger;
-        let held = self.reservations.entry(purpose).or_insert_with(|| ledger.account(purpose).nothing());
-        held.owe(held.bytes() + ENTRY_BYTES);
+        let held =
+            self.reservations.entry(purpose).or_insert_with(|| ledger.account(purpose).empty_reservation());
+        held.reserve_over_cap(held.bytes() + ENTRY_BYTES);
     }
 
     fn remove(&mut self, purpose: Purpose) {
--- a/crates/node/src/wire/replicate.rs
+++ b/crates/node/src/wire/replication.rs
@@ -14,9 +14,9 @@
 pub use mesh::Mesh;
 
 use super::accept::{Acceptor, ConnectionLimits};
-use super::news::OnNews;
-use crate::life::spawn;
-use crate::memory::store::Store;
+use super::record_changes::OnRecordChanges;
+use crate::lifecycle::spawn;
+use crate::state::store::Store;
 use client::ReplicationClient;
 use corkbay_ledger::Purpose;
 use may::sync::mpsc;
@@ -35,7 +35,11 @@
     let account = store.ledger().account(Purpose::Replication).clone();
     Acceptor::open(
         address,
-        ConnectionLimits { most: peers + MAX_OTHER_CONNECTIONS, stall: STALL_TIMEOUT, account },
+        ConnectionLimits {
+            max_connections: peers + MAX_OTHER_CONNECTIONS,
+            write_timeout: STALL_TIMEOUT,
+            account,
+        },
     )
 }
 
@@ -46,9 +50,9 @@
     acceptor: Arc<Acceptor>,
     peers: &[SocketAddr],
     interval: Duration,
-    on_news: OnNews,
+    on_record_changes: OnRecordChanges,
 ) -> Arc<Mesh> {
-    let (mesh, changes) = Mesh::new(store.clone(), on_news);
+    let (mesh, changes) = Mesh::new(store.clone(), on_record_changes);
     let indexing = mesh.clone();
     spawn(move || indexing.follow_changes(&changes));
     accept_peers(mesh.clone(), acceptor);
@@ -67,7 +71,7 @@
     spawn(move || {
         acceptor.accept(move |connection| {
             // Counted as busy for its lifetime, so that an idle peer connection is not evicted.
-            connection.opened();
+            connection.request_started();
             if let Err(error) = server::serve(&mesh, &connection) {
                 tracing::warn!(%error, "replication: a caller");
             }
--- a/crates/node/src/wire/socket.rs
+++ b/crates/node/src/wire/socket.rs
@@ -62,7 +62,7 @@
 
     /// Waits until data can be read, for `within` at most.
     fn wait(&self, within: Duration) -> io::Result<()> {
-        let (within, byte) = (Some(timers::piece(within)), &mut [0; 1]);
+        let (within, byte) = (Some(timers::timer_duration(within)), &mut [0; 1]);
         match self {
             Stream::Own(stream) => stream.set_read_timeout(within).and_then(|()| stream.peek(byte)),
             Stream::Adopted(stream) => {
@@ -111,7 +111,7 @@
     }
 
     /// Whether the peer has closed its writing side, even if bytes that it sent before are still unread.
-    pub fn is_hung_up(&self) -> bool {
+    pub fn is_closed_by_peer(&self) -> bool {
         let at_once = Timespec { tv_sec: 0, tv_nsec: 0 };
         let mut poll_fds = [PollFd::new(self.stream.inner(), PollFlags::RDHUP)];
         poll(&mut poll_fds, Some(&at_once)).is_ok_and(|ready| ready > 0)
@@ -123,7 +123,7 @@
     }
 
     /// Whether received bytes wait to be read, or the reader is processing what it read.
-    pub fn has_unused(&self) -> bool {
+    pub fn has_pending_input(&self) -> bool {
         // The order matters: a reader that takes the bytes between the two checks has cleared `reader_waits` before.
         self.has_unread() || !self.reader_waits.load(Ordering::SeqCst)
     }
@@ -135,7 +135,7 @@
 
     /// Connects to an address, for `within` at most.
     pub fn connect(address: &SocketAddr, within: Duration, stall: Duration) -> io::Result<Self> {
-        Socket::new(TcpStream::connect_timeout(address, timers::piece(within))?, stall)
+        Socket::new(TcpStream::connect_timeout(address, timers::timer_duration(within))?, stall)
     }
 
     /// Reads received bytes, or waits for some; [`ErrorKind::TimedOut`] when none arrive within the given time.
@@ -208,8 +208,8 @@
     }
 
     /// The socket as [`Read`] and [`Write`], whose reads wait for `within` at most.
-    pub fn patient(&self, within: Duration) -> Patient<'_> {
-        Patient { socket: self, within }
+    pub fn with_read_timeout(&self, within: Duration) -> TimedSocket<'_> {
+        TimedSocket { socket: self, within }
     }
 
     /// Shuts the connection down in one direction or both; a task that waits on it is woken.
@@ -230,18 +230,18 @@
 }
 
 /// A socket as [`Read`] and [`Write`], with a timeout for each read.
-pub struct Patient<'a> {
+pub struct TimedSocket<'a> {
     socket: &'a Socket,
     within: Duration,
 }
 
-impl Read for Patient<'_> {
+impl Read for TimedSocket<'_> {
     fn read(&mut self, buffer: &mut [u8]) -> io::Result<usize> {
         self.socket.read(buffer, self.within)
     }
 }
 
-impl Write for Patient<'_> {
+impl Write for TimedSocket<'_> {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.socket.write(bytes).map(|()| bytes.len())
     }
--- a/crates/node/src/wire/front.rs
+++ b/crates/node/src/wire/thrift_front.rs
@@ -1,11 +1,11 @@
 //! The Thrift front: reads requests from client connections, hands them to the invoker and writes the answers.
 use super::accept::Connection;
-use super::intake::{Intake, CHUNK};
-use super::passage::{Passage, ReceivedConnection};
+use super::connection_handover::{HandoverSender, ReceivedConnection};
+use super::receive_buffer::{ReceiveBuffer, CHUNK};
 use super::thrift::{self, Fields, Malformed, Message, Reply};
-use crate::core::{lock, monotonic_ms, until, Answer, Call, Failure, Invoker, NotTaken};
-use crate::life::spawn;
-use crate::memory::clients::ClientState;
+use crate::core::{lock, monotonic_ms, time_until, AdmissionError, Answer, Call, Failure, Invoker};
+use crate::lifecycle::spawn;
+use crate::state::clients::ClientState;
 use crate::timers;
 use corkbay::{position, Effect, ModelId, Ms, Request, RequestId};
 use corkbay_ledger::Purpose;
@@ -74,7 +74,7 @@
 }
 
 /// Serves a client connection until it ends or, while this process drains, is handed over to the successor.
-pub fn serve(invoker: &Arc<Invoker>, handover: &Passage, connection: Arc<Connection>) {
+pub fn serve(invoker: &Arc<Invoker>, handover: &HandoverSender, connection: Arc<Connection>) {
     serve_until_end(invoker, handover, &connection, OpenRequests::default());
 }
 
@@ -82,14 +82,14 @@
 /// Answers from that process are to be passed to the returned value.
 pub fn resume(
     invoker: &Arc<Invoker>,
-    handover: &Arc<Passage>,
+    handover: &Arc<HandoverSender>,
     connection: Arc<Connection>,
     unanswered: &[i32],
 ) -> impl ReceivedConnection {
     let open_requests: OpenRequests =
         Arc::new(Mutex::new(unanswered.iter().map(|seqid| (*seqid, Responder::Predecessor)).collect()));
-    unanswered.iter().for_each(|_| connection.opened());
-    invoker.counters.taken_over.add();
+    unanswered.iter().for_each(|_| connection.request_started());
+    invoker.counters.taken_over.increment();
     let taken_over =
         TakenOverConnection { connection: Arc::downgrade(&connection), open_requests: open_requests.clone() };
     let (invoker, handover) = (invoker.clone(), handover.clone());
@@ -99,7 +99,7 @@
 
 fn serve_until_end(
     invoker: &Arc<Invoker>,
-    handover: &Passage,
+    handover: &HandoverSender,
     connection: &Arc<Connection>,
     open_requests: OpenRequests,
 ) {
@@ -107,13 +107,13 @@
         WithdrawOnDrop { invoker: invoker.clone(), open_requests: open_requests.clone(), handed_over: false };
     match read_messages(invoker, handover, connection, &open_requests) {
         Ok(ReadEnd::HandedOver) => {
-            invoker.counters.passed_on.add();
+            invoker.counters.passed_on.increment();
             withdraw_on_drop.handed_over = true;
             return;
         }
         Ok(ReadEnd::Closed) => {}
         Err(malformed) => {
-            invoker.counters.malformed.add();
+            invoker.counters.malformed.increment();
             tracing::info!(%malformed, "client connection closed");
         }
     }
@@ -133,7 +133,7 @@
         spawn(move || {
             // The connection may have ended already, or the client may have cancelled the request.
             let Some(connection) = connection.upgrade() else { return };
-            let held = connection.account().owe(bytes.len());
+            let held = connection.account().reserve_over_cap(bytes.len());
             connection.finish_request(seqid, bytes, || lock(&open_requests).remove(&seqid).is_some(), held);
         });
     }
@@ -176,11 +176,12 @@
 /// the stream can't be read any further.
 fn read_messages(
     invoker: &Arc<Invoker>,
-    handover: &Passage,
+    handover: &HandoverSender,
     connection: &Arc<Connection>,
     open_requests: &OpenRequests,
 ) -> Result<ReadEnd, Malformed> {
-    let (mut buffer, mut chunk) = (Intake::new(connection.account(), Purpose::Clients), vec![0; CHUNK]);
+    let (mut buffer, mut chunk) =
+        (ReceiveBuffer::new(connection.account(), Purpose::Clients), vec![0; CHUNK]);
     let (mut message_began, mut malformed_messages, mut last_request, mut full_chunks) = (0.0, 0, 0.0, 0);
     loop {
         let Some(message) = thrift::unframe(buffer.bytes())? else {
@@ -191,7 +192,7 @@
                 return Ok(ReadEnd::HandedOver);
             }
             let (state, since) = connection.state();
-            if connection.is_turned_away() && state == ClientState::Idle && !connection.has_unread() {
+            if connection.is_beyond_limit() && state == ClientState::Idle && !connection.has_unread() {
                 return Ok(ReadEnd::Closed);
             }
             let end = match state {
@@ -201,13 +202,13 @@
                 ClientState::Busy => monotonic_ms() + UNANSWERED_TIMEOUT_MS,
                 _ if !buffer.is_empty() => message_began + MESSAGE_TIMEOUT_MS,
                 ClientState::Idle => since + IDLE_TIMEOUT_MS,
-                ClientState::Silent => since + UNANSWERED_TIMEOUT_MS,
+                ClientState::NeverAnswered => since + UNANSWERED_TIMEOUT_MS,
             };
-            if connection.is_draining() && invoker.duty().ends(monotonic_ms(), last_request) {
+            if connection.is_draining() && invoker.serving_state().ends(monotonic_ms(), last_request) {
                 local_request_ids(open_requests).into_iter().for_each(|id| invoker.end(id));
             }
             let was_empty = buffer.is_empty();
-            match buffer.fill(connection, &mut chunk, until(end)) {
+            match buffer.fill(connection, &mut chunk, time_until(end)) {
                 // The read side was shut down by this process. Bytes that were sent before are still read, and the
                 // connection is closed once all requests are answered.
                 Ok(0) if connection.is_shut() => {
@@ -259,14 +260,14 @@
                     // The other process completes the call; its answer is discarded here.
                     Some(Responder::Predecessor) => {
                         lock(open_requests).remove(&seqid);
-                        connection.closed();
+                        connection.request_ended();
                     }
                     None => {}
                 }
                 Ok(())
             }
             Ok(Message::Alive { seqid }) => {
-                let is_success = invoker.duty().leaving().is_none();
+                let is_success = invoker.serving_state().leaving().is_none();
                 write(
                     connection,
                     &thrift::reply("alive", seqid, Reply::Answer { body: Vec::new(), is_success }),
@@ -283,7 +284,7 @@
             },
         };
         if let Err(what) = result {
-            invoker.counters.malformed.add();
+            invoker.counters.malformed.increment();
             malformed_messages += 1;
             if malformed_messages <= MAX_LOGGED_MALFORMED {
                 tracing::info!(what, "message turned down");
@@ -310,9 +311,9 @@
     body: Vec<u8>,
 ) -> Result<(), &'static str> {
     let reply_now = |reply| write(connection, &thrift::reply("dispatch", seqid, reply));
-    let _open_guard = connection.keep();
-    if connection.is_turned_away() {
-        invoker.counters.turned_away.add();
+    let _open_guard = connection.hold_request();
+    if connection.is_beyond_limit() {
+        invoker.counters.turned_away.increment();
         reply_now(rejected(OVERLOAD_RETRY_AFTER_MS));
         return Ok(());
     }
@@ -320,23 +321,23 @@
         reply_now(rejected(OVERLOAD_RETRY_AFTER_MS));
         return Ok(());
     }
-    let arrived_at = invoker.came_at().min(connection.earliest_arrival());
+    let arrived_at = invoker.earliest_arrival().min(connection.earliest_arrival());
     let accepted = parse_call(invoker, arrived_at, fields, body).map(|call| {
         let id = call.request.id;
-        let accepted = invoker.take(call);
+        let accepted = invoker.accept(call);
         if accepted.is_ok() {
             lock(open_requests).insert(seqid, Responder::Local(id));
         }
         accepted
     });
     match accepted {
-        Ok(Err(NotTaken::Draining)) => reply_now(rejected(DRAINING_RETRY_AFTER_MS)),
-        Ok(Err(NotTaken::Crowded(retry_after_ms))) => {
+        Ok(Err(AdmissionError::Draining)) => reply_now(rejected(DRAINING_RETRY_AFTER_MS)),
+        Ok(Err(AdmissionError::Overloaded(retry_after_ms))) => {
             reply_now(rejected(retry_after_ms.max(OVERLOAD_RETRY_AFTER_MS)))
         }
-        Ok(Err(NotTaken::Open)) => reply_now(crashed("the request is open already")),
+        Ok(Err(AdmissionError::DuplicateId)) => reply_now(crashed("the request is open already")),
         Ok(Ok(accepted)) => {
-            connection.opened();
+            connection.request_started();
             let (invoker, open_requests, connection) =
                 (invoker.clone(), open_requests.clone(), connection.clone());
             spawn(move || {
--- a/crates/node/src/wire/workers.rs
+++ b/crates/node/src/wire/workers.rs
@@ -3,12 +3,14 @@
 mod connection;
 
 use super::frames::{code, Frame};
-use super::intake::Intake;
-use crate::core::{lock, AttemptError, Call, CancelNotice, Cause, Ending, Exchange, Verdict, Workers};
-use crate::life::spawn;
-use crate::memory::counters::Dials;
-use crate::memory::link::Stage;
-use crate::memory::roster::Host;
+use super::receive_buffer::ReceiveBuffer;
+use crate::core::{
+    lock, AbortReason, AttemptError, Call, CancelNotice, Exchange, OnAttemptEnd, WorkerRefusal, Workers,
+};
+use crate::lifecycle::spawn;
+use crate::state::counters::ConnectionAttempts;
+use crate::state::exchanges::Stage;
+use crate::state::roster::Host;
 use crate::timers;
 use connection::{Connection, OutgoingFrame, Recipients, Waiter, WriterMessage};
 use corkbay::{ModelId, Ms, WorkerId};
@@ -41,7 +43,7 @@
     pub connections: usize,
     /// Maximum size of an answer's body, in bytes.
     pub answer: usize,
-    /// Whether a cancel command is sent to the worker when an attempt is given up.
+    /// Whether a cancel command is sent to the worker when an attempt is cancelled.
     pub cancels: bool,
 }
 
@@ -70,7 +72,7 @@
     /// Maximum number of connections to all workers together.
     max_connections: AtomicUsize,
     next_order_id: AtomicU64,
-    dials: Arc<Dials>,
+    connection_attempts: Arc<ConnectionAttempts>,
 }
 
 struct FrameExchange {
@@ -91,13 +93,13 @@
             evicting: Arc::new(AtomicUsize::new(0)),
             max_connections: AtomicUsize::new(limits.connections),
             next_order_id: AtomicU64::new(1 << 62),
-            dials: Arc::default(),
+            connection_attempts: Arc::default(),
         }
     }
 
     /// Sets the maximum number of connections. Connections beyond it are closed when they are idle.
-    pub fn set_most(&self, most: usize) {
-        self.max_connections.store(most, Ordering::Relaxed);
+    pub fn set_max_connections(&self, max_connections: usize) {
+        self.max_connections.store(max_connections, Ordering::Relaxed);
     }
 
     /// Queues a frame on a connection to the host; opens a connection where no healthy one has a free exchange, and
@@ -113,7 +115,9 @@
     ) -> Option<Arc<Connection>> {
         let expects_answer = waiter.is_some();
         let fail_barred = |waiter: Option<Waiter>| {
-            waiter.into_iter().for_each(|waiter| waiter(Err(AttemptError::Unfinished(Cause::Barred))));
+            waiter
+                .into_iter()
+                .for_each(|waiter| waiter(Err(AttemptError::NotFullySent(AbortReason::SendNotAllowed))));
         };
         if recipients.excludes(host) {
             fail_barred(waiter);
@@ -122,11 +126,11 @@
         let pools = &mut *lock(&self.pools);
         let key = (host.id, host.address);
         let mut try_register = |connection: &Arc<Connection>| {
-            let mut link = lock(&connection.link);
-            let fits = if expects_answer { link.admits(frame.id) } else { !link.is_closed() };
+            let mut exchanges = lock(&connection.exchanges);
+            let fits = if expects_answer { exchanges.admits(frame.id) } else { !exchanges.is_closed() };
             if fits {
                 connection.mark_used();
-                waiter = waiter.take().and_then(|waiter| link.open(frame.id, waiter).err());
+                waiter = waiter.take().and_then(|waiter| exchanges.open(frame.id, waiter).err());
             }
             fits
         };
@@ -161,7 +165,7 @@
     /// exhausted, the connection that has been idle longest is evicted first; `None` where none can be.
     fn open_connection(&self, host: &Arc<Host>, pools: &mut Pools) -> Option<Arc<Connection>> {
         pools.retain(|_, pool| {
-            pool.retain(|connection| !lock(&connection.link).is_closed());
+            pool.retain(|connection| !lock(&connection.exchanges).is_closed());
             !pool.is_empty()
         });
         let held = self.account.reserve(CONNECTION_BYTES);
@@ -173,7 +177,7 @@
         if (held.is_err() || is_full) && !made_room {
             return None;
         }
-        let held = held.unwrap_or_else(|_| self.account.owe(CONNECTION_BYTES));
+        let held = held.unwrap_or_else(|_| self.account.reserve_over_cap(CONNECTION_BYTES));
         self.connections.fetch_add(1, Ordering::Relaxed);
         let (connection, queue) = Connection::new(self.limits.streams);
         let connection = Arc::new(connection);
@@ -182,11 +186,11 @@
             connections: self.connections.clone(),
             evicting: self.evicting.clone(),
         };
-        let (host, limits, task_connection, dials) =
-            (host.clone(), self.limits, connection.clone(), self.dials.clone());
-        let receive_buffer = Intake::new(&self.account, Purpose::Workers);
+        let (host, limits, task_connection, connection_attempts) =
+            (host.clone(), self.limits, connection.clone(), self.connection_attempts.clone());
+        let receive_buffer = ReceiveBuffer::new(&self.account, Purpose::Workers);
         spawn(move || {
-            task_connection.run(&host, &limits, &dials, &queue, receive_buffer);
+            task_connection.run(&host, &limits, &connection_attempts, &queue, receive_buffer);
             drop((slot, held));
         });
         Some(connection)
@@ -198,7 +202,7 @@
         if self.evicting.load(Ordering::Relaxed) >= MAX_EVICTING_CONNECTIONS {
             return false;
         }
-        let idle = pools.values().flatten().filter(|connection| lock(&connection.link).is_idle());
+        let idle = pools.values().flatten().filter(|connection| lock(&connection.exchanges).is_idle());
         let Some(longest) = idle.min_by_key(|connection| connection.last_used_ms()) else { return false };
         let is_evicted = longest.evict_if_idle();
         self.evicting.fetch_add(usize::from(is_evicted), Ordering::Relaxed);
@@ -221,9 +225,9 @@
         match timers::receive(&answer, within) {
             Ok(end) => end,
             Err(_) => {
-                let given_up = connection.and_then(|connection| lock(&connection.link).give_up(id));
-                let error = given_up.map(|(stage, _)| unanswered_error(stage, Cause::Silent));
-                Err(error.unwrap_or(AttemptError::Unanswered(Cause::Silent)))
+                let given_up = connection.and_then(|connection| lock(&connection.exchanges).give_up(id));
+                let error = given_up.map(|(stage, _)| unanswered_error(stage, AbortReason::TimedOut));
+                Err(error.unwrap_or(AttemptError::Unanswered(AbortReason::TimedOut)))
             }
         }
     }
@@ -254,18 +258,18 @@
 fn check_answer(frame: Frame, expected_code: u8) -> Result<Frame, AttemptError> {
     match frame.code {
         code if code == expected_code => Ok(frame),
-        code::OK | code::ALIVE => Err(AttemptError::Unanswered(Cause::Broken)),
-        code::MISS => Err(AttemptError::Answered(Verdict::Miss)),
-        code::FULL => Err(AttemptError::Answered(Verdict::Full)),
-        code::OVER => Err(AttemptError::Answered(Verdict::Over)),
-        _ => Err(AttemptError::Answered(Verdict::Failed)),
+        code::OK | code::ALIVE => Err(AttemptError::Unanswered(AbortReason::ConnectionLost)),
+        code::MISS => Err(AttemptError::Answered(WorkerRefusal::NotLoaded)),
+        code::FULL => Err(AttemptError::Answered(WorkerRefusal::Full)),
+        code::OVER => Err(AttemptError::Answered(WorkerRefusal::RequestEnded)),
+        _ => Err(AttemptError::Answered(WorkerRefusal::Failed)),
     }
 }
 
 impl Exchange for FrameExchange {
-    fn give_up(&mut self, cause: Cause) -> Option<AttemptError> {
+    fn cancel(&mut self, cause: AbortReason) -> Option<AttemptError> {
         let connection = self.connection.take()?;
-        let (stage, _) = lock(&connection.link).give_up(self.id)?;
+        let (stage, _) = lock(&connection.exchanges).give_up(self.id)?;
         if stage != Stage::Queued && self.cancels {
             let frame = Frame::command(code::GIVE_UP, self.id, String::new(), Vec::new());
             let _ = connection.outbox.send(WriterMessage::Frame(OutgoingFrame {
@@ -292,7 +296,7 @@
         call: &Arc<Call>,
         expires: Ms,
         send_by: Ms,
-        end: Ending,
+        end: OnAttemptEnd,
     ) -> Box<dyn Exchange> {
         let mut fields = format!("kind={},obj={:016x}", call.class_name, call.request.model.0);
         if let Some(key) = &call.key {
@@ -340,8 +344,8 @@
         self.enqueue(host, frame, Recipients::Query, Ms::INFINITY, None, None);
     }
 
-    fn dials(&self) -> Arc<Dials> {
-        self.dials.clone()
+    fn connection_attempts(&self) -> Arc<ConnectionAttempts> {
+        self.connection_attempts.clone()
     }
 
     fn probe(&self, host: &Arc<Host>, within: Duration) -> Result<(), AttemptError> {
--- a/crates/rig/src/scale/decisions.rs
+++ b/crates/rig/src/scale/decisions.rs
@@ -7,10 +7,10 @@
 use crate::daemon::Deployment;
 use clap::Args;
 use corkbay::{
-    Action, Dispatcher, Event, Finished, ModelId, Ms, Outcome, Request, RequestId, Roster, RosterEntry,
-    Settings, Standing, Tables, Warmth, WorkerId,
+    Action, Dispatcher, Event, Finished, ModelId, Ms, Outcome, Request, RequestId, RosterEntry, RosterUpdate,
+    Settings, TableSizes, Warmth, WorkerId, WorkerState,
 };
-use corkbay_node::life::deploy::{read, Deploy};
+use corkbay_node::lifecycle::deploy::{read, Deploy};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Zipf};
@@ -99,7 +99,7 @@
     served: u64,
     costs: BTreeMap<Work, Cost>,
     roster: Duration,
-    tables: Tables,
+    tables: TableSizes,
     resident: f64,
 }
 
@@ -142,7 +142,7 @@
     let deploy: Deploy =
         read(&deployment.text()).map_err(|error| ScaleError::Failed(format!("deploy file: {error}")))?;
     let mut settings = Settings::from_json(&deploy.settings());
-    settings.front_ends = options.invokers;
+    settings.invokers = options.invokers;
     settings.kind_memory = vec![AMPLE_MEMORY_MB];
     Ok(settings)
 }
@@ -175,7 +175,7 @@
             ("calls measured", self.calls as f64, "calls"),
             ("calls served", self.served as f64, "calls"),
             ("models known", self.tables.models as f64, "models"),
-            ("lines known", self.tables.lines as f64, "lines"),
+            ("lines known", self.tables.entries as f64, "lines"),
             ("memory told", self.tables.bytes as f64, "bytes"),
             ("memory resident", self.resident, "bytes"),
         ];
@@ -230,7 +230,7 @@
         };
         let entries: Vec<RosterEntry> =
             (0..point.workers).map(|number| entry(number, options.zones)).collect();
-        fleet.roster = fleet.handle(Event::Roster(Roster::Whole(entries)));
+        fleet.roster = fleet.handle(Event::Roster(RosterUpdate::Complete(entries)));
         fleet
     }
 
@@ -251,7 +251,7 @@
             at += 1000.0 / options.rate;
         }
         self.run_until(end);
-        let tables = self.dispatcher.remembered();
+        let tables = self.dispatcher.table_sizes();
         let resident = own_resident()? - self.resident_before;
         let (served, roster, costs) = (self.served, self.roster, self.costs.clone());
         Ok(Reading { calls, served, costs, roster, tables, resident })
@@ -363,8 +363,18 @@
         let attempt = *attempts;
         *attempts += 1;
         self.served += u64::from(is_loaded);
-        let (warmth, crowd, report) = (Warmth::Untold, None, None);
-        let end = Finished { id, attempt, worker, closed: is_loaded, outcome, took, warmth, crowd, report };
+        let (warmth, concurrent_calls, report) = (Warmth::Unknown, None, None);
+        let end = Finished {
+            id,
+            attempt,
+            worker,
+            closed: is_loaded,
+            outcome,
+            took,
+            warmth,
+            concurrent_calls,
+            report,
+        };
         self.schedule(took, Event::Finished(end));
     }
 
@@ -410,8 +420,8 @@
         zone,
         kind: 0,
         cell: zone as i64,
-        standing: Standing::Ready,
+        state: WorkerState::Ready,
         weight: 1.0,
-        born: 0.0,
+        started_at: 0.0,
     }
 }
--- a/crates/rig/src/scale/worker_list.rs
+++ b/crates/rig/src/scale/worker_list.rs
@@ -3,14 +3,14 @@
 use super::usage::{own_resident, thread_cpu};
 use super::{Measurement, ScaleContext, ScaleError};
 use clap::Args;
-use corkbay::{ModelId, Ms, Names, Standing};
+use corkbay::{ModelId, Ms, Names, WorkerState};
 use corkbay_ledger::{Budget, Ledger, Purpose, Shares, MIB};
 use corkbay_node::core::UnixTime;
-use corkbay_node::core::{AttemptError, Call, Ending, Exchange, Invoker, Workers};
-use corkbay_node::memory::catalog::{Catalog, State, Worker};
-use corkbay_node::memory::roster::{Directory, Host, Listing};
-use corkbay_node::memory::store::Store;
-use corkbay_node::wire::channel::News;
+use corkbay_node::core::{AttemptError, Call, Exchange, Invoker, OnAttemptEnd, Workers};
+use corkbay_node::state::catalog::{Catalog, State, Worker};
+use corkbay_node::state::roster::{Host, WorkerDirectory, WorkerListing};
+use corkbay_node::state::store::Store;
+use corkbay_node::wire::command_channel::ChannelEvent;
 use corkbay_node::wire::sse::Stream;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -121,7 +121,7 @@
 fn measure_directory(workers: usize, options: &Options, add: &mut AddMeasurement) {
     let account = corkbay_ledger::Account::root("scale", usize::MAX >> 8);
     let names = Names { zones: zone_names(options), ..Names::default() };
-    let mut directory = Directory::new(&names, &account);
+    let mut directory = WorkerDirectory::new(&names, &account);
     let listings = || (0..workers).map(|number| listing(number, options)).collect::<Vec<_>>();
     directory.apply(listings(), true, false);
     let (mut lists, mut changes) = (Vec::new(), Vec::new());
@@ -164,8 +164,8 @@
 fn measure_room(workers: usize, options: &Options, add: &mut AddMeasurement) {
     let Ok(ledger) = ledger(PLANNED_MEMORY_MB) else { return };
     let invoker = invoker(options, &ledger);
-    invoker.news((0..workers).map(|number| listing(number, options)).collect(), true, false);
-    let known = (0..workers).filter(|number| invoker.may_resume(&worker_name(*number)).is_ok()).count();
+    invoker.update_roster((0..workers).map(|number| listing(number, options)).collect(), true, false);
+    let known = (0..workers).filter(|number| invoker.check_resume(&worker_name(*number)).is_ok()).count();
     add("roster: workers taken in with 256 MB", known as f64, "workers");
     add("roster: part of its account used", part_used(&ledger, Purpose::Roster), "of the cap");
 }
@@ -200,7 +200,7 @@
     let streamed = thread_cpu();
     let event =
         events.first().ok_or_else(|| ScaleError::Failed("the stream decoder returned no event".into()))?;
-    let news: News = serde_json::from_str(&event.data).map_err(failed)?;
+    let news: ChannelEvent = serde_json::from_str(&event.data).map_err(failed)?;
     let parsed = thread_cpu();
     news.remember(invoker);
     let applied = thread_cpu();
@@ -222,17 +222,17 @@
     })
 }
 
-fn listing(number: usize, options: &Options) -> Listing {
-    Listing {
+fn listing(number: usize, options: &Options) -> WorkerListing {
+    WorkerListing {
         name: worker_name(number),
         address: address(number),
         zone: zone_name(number, options),
         kind: "standard".into(),
         cell: cell(number, options),
-        standing: Standing::Ready,
+        state: WorkerState::Ready,
         weight: 1.0,
         since: UnixTime::NONE,
-        heard_without: f64::NEG_INFINITY,
+        last_contact_without_report: f64::NEG_INFINITY,
     }
 }
 
@@ -310,7 +310,7 @@
 struct NoExchange(corkbay_node::core::CancelNotice);
 
 impl Exchange for NoExchange {
-    fn give_up(&mut self, _: corkbay_node::core::Cause) -> Option<AttemptError> {
+    fn cancel(&mut self, _: corkbay_node::core::AbortReason) -> Option<AttemptError> {
         None
     }
 
@@ -320,18 +320,18 @@
 }
 
 impl Workers for NoWorkers {
-    fn send(&self, _: &Arc<Host>, _: &Arc<Call>, _: Ms, _: Ms, end: Ending) -> Box<dyn Exchange> {
-        end(Err(AttemptError::Unconnected));
+    fn send(&self, _: &Arc<Host>, _: &Arc<Call>, _: Ms, _: Ms, end: OnAttemptEnd) -> Box<dyn Exchange> {
+        end(Err(AttemptError::ConnectFailed));
         Box::new(NoExchange(Default::default()))
     }
 
     fn load(&self, _: &Arc<Host>, _: ModelId, _: u32, _: Ms, _: Duration) -> (Result<(), AttemptError>, u32) {
-        (Err(AttemptError::Unconnected), 0)
+        (Err(AttemptError::ConnectFailed), 0)
     }
 
     fn evict(&self, _: &Arc<Host>, _: ModelId) {}
 
     fn probe(&self, _: &Arc<Host>, _: Duration) -> Result<(), AttemptError> {
-        Err(AttemptError::Unconnected)
+        Err(AttemptError::ConnectFailed)
     }
 }
