--- a/crates/rig/src/client.rs
+++ b/crates/rig/src/client.rs
@@ -34,7 +34,7 @@
     }
 
     /// Sends a request and waits for the response.
-    pub fn ask(
+    pub fn send_request(
         &mut self,
         method: &str,
         path: &str,
--- a/crates/rig/src/compare.rs
+++ b/crates/rig/src/compare.rs
@@ -5,7 +5,7 @@
 use crate::client::Client;
 use crate::daemon::{Daemon, Deployment};
 use crate::fault_schedule::FaultSchedule;
-use crate::fleet::{Fleet, Kind};
+use crate::fleet::{Fleet, WorkerProfile};
 use hdrhistogram::Histogram;
 use std::io;
 use std::path::Path;
@@ -21,10 +21,15 @@
 
 /// Runs `rounds` rounds of `calls` calls with each of two programs.
 pub fn run(programs: [&Path; 2], folder: &Path, rounds: usize, calls: usize) -> io::Result<Vec<Round>> {
-    let kind = Kind { work: Duration::ZERO, load: Duration::ZERO, cold: Duration::ZERO, ..Kind::default() };
-    let fleet = Fleet::start(2, kind, FaultSchedule { seed: 1, fault_rate: 0.0 })?;
+    let profile = WorkerProfile {
+        call_time: Duration::ZERO,
+        load_time: Duration::ZERO,
+        cold: Duration::ZERO,
+        ..WorkerProfile::default()
+    };
+    let fleet = Fleet::start(2, profile, FaultSchedule { seed: 1, fault_rate: 0.0 })?;
     let workers = fleet.addresses();
-    let deployment = Deployment { head: String::new(), protocol: "frames", workers, functions: 2 };
+    let deployment = Deployment { extra_lines: String::new(), protocol: "frames", workers, functions: 2 };
     let start = |build: usize| Daemon::start(programs[build], &folder.join(build.to_string()), &deployment);
     let daemons = [start(0)?, start(1)?];
     let mut clients = [0, 1].map(|build| Client::new(daemons[build].address, CLIENT_TIMEOUT));
@@ -35,7 +40,7 @@
                 Histogram::<u64>::new_with_bounds(1, MAX_LATENCY_NS, 4).map_err(io::Error::other)?;
             for _ in 0..calls {
                 let started = Instant::now();
-                let response = client.ask("POST", PATH, &[], b"a household")?;
+                let response = client.send_request("POST", PATH, &[], b"a household")?;
                 if response.status != 200 {
                     return Err(io::Error::other(format!(
                         "a call was answered with status {}",
--- a/crates/rig/src/daemon.rs
+++ b/crates/rig/src/daemon.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug)]
 pub struct Deployment {
     /// Lines before the first table, such as `memory_mb = 128`.
-    pub head: String,
+    pub extra_lines: String,
     /// Protocol for talking to workers: `http` or `frames`.
     pub protocol: &'static str,
     /// Addresses of the workers.
@@ -40,7 +40,7 @@
         let mut text = format!(
             "node = \"rig\"\nlisten = \"127.0.0.1:0\"\n{}\n[transport]\nprotocol = \"{}\"\norders = {}\n\
              ",
-            self.head,
+            self.extra_lines,
             self.protocol,
             self.protocol == "frames"
         );
@@ -96,7 +96,7 @@
 
     /// Samples the daemon's memory: its accounts from the status page and its resident memory from the kernel.
     pub fn sample(&self, started: Instant, phase: &str) -> io::Result<Sample> {
-        let status = Client::new(self.address, STATUS_TIMEOUT).ask("GET", "/v1/status", &[], b"")?;
+        let status = Client::new(self.address, STATUS_TIMEOUT).send_request("GET", "/v1/status", &[], b"")?;
         let status: Value = serde_json::from_slice(&status.body)?;
         let accounts = status["memory"]["accounts"].as_array().cloned().unwrap_or_default();
         let number = |account: &Value, key: &str| account[key].as_f64().unwrap_or_default();
--- a/crates/rig/src/faults/channel.rs
+++ b/crates/rig/src/faults/channel.rs
@@ -17,12 +17,12 @@
     pub address: SocketAddr,
     events: Arc<Mutex<Vec<Value>>>,
     is_silent: Arc<AtomicBool>,
-    bytes_told: Arc<AtomicU64>,
+    bytes_sent: Arc<AtomicU64>,
 }
 
 /// Returns one entry of the list of workers; `since_ms` is the start time of the worker in milliseconds since the epoch.
-pub fn endpoint(name: &str, address: SocketAddr, rack: usize, status: &str, since_ms: f64) -> Value {
-    json!({"name": name, "address": address.to_string(), "zone": "east", "type": "std", "group": rack,
+pub fn endpoint(name: &str, address: SocketAddr, cell: usize, status: &str, since_ms: f64) -> Value {
+    json!({"name": name, "address": address.to_string(), "zone": "east", "type": "std", "group": cell,
            "status": status, "weight": 1, "since_ms": since_ms})
 }
 
@@ -34,7 +34,7 @@
             address: listener.local_addr()?,
             events: Arc::default(),
             is_silent: Arc::default(),
-            bytes_told: Arc::default(),
+            bytes_sent: Arc::default(),
         };
         channel.push(endpoints, true);
         let accepting_channel = channel.clone();
@@ -49,13 +49,13 @@
     }
 
     /// The events so far, as the `known` key of a configuration holds them.
-    pub fn known(&self) -> Value {
+    pub fn initial_state(&self) -> Value {
         let events = self.events();
         json!({"cursor": events.len(), "cmds": *events})
     }
 
     /// Sends an event with the changed workers.
-    pub fn change(&self, endpoints: &[Value]) {
+    pub fn push_changes(&self, endpoints: &[Value]) {
         self.push(endpoints, false);
     }
 
@@ -65,8 +65,8 @@
     }
 
     /// Bytes of events that were sent, over all connections.
-    pub fn bytes_told(&self) -> u64 {
-        self.bytes_told.load(Ordering::Relaxed)
+    pub fn bytes_sent(&self) -> u64 {
+        self.bytes_sent.load(Ordering::Relaxed)
     }
 
     fn push(&self, endpoints: &[Value], is_snapshot: bool) {
@@ -99,7 +99,7 @@
                 sent_count += 1;
                 let text = format!("id: {sent_count}\ndata: {event}\n\n");
                 socket.write_all(text.as_bytes())?;
-                self.bytes_told.fetch_add(text.len() as u64, Ordering::Relaxed);
+                self.bytes_sent.fetch_add(text.len() as u64, Ordering::Relaxed);
                 last_write = Instant::now();
             }
             if last_write.elapsed() >= KEEPALIVE_INTERVAL {
--- a/crates/rig/src/faults/client.rs
+++ b/crates/rig/src/faults/client.rs
@@ -1,7 +1,7 @@
 //! Simulated clients of one daemon: each keeps a connection, sends at a steady rate, and sometimes cancels a request or
 //! closes the connection.
 use super::log::{draw, Log};
-use super::records::{Asked, At, CLASSES};
+use super::records::{ClientRequest, Millis, CLASSES};
 use super::thrift::{cancel, dispatch, receive};
 use std::collections::HashMap;
 use std::io::Write;
@@ -79,7 +79,7 @@
 /// Requests in flight on a connection.
 #[derive(Default)]
 struct RequestsInFlight {
-    /// Index in `Records::asked` by sequence number.
+    /// Index in `Records::requests` by sequence number.
     indices: HashMap<i32, usize>,
     /// Whether the reader has seen the end of the connection.
     is_closed: bool,
@@ -125,7 +125,7 @@
                 let index = lock(&shared).indices.remove(&seqid);
                 let at = reader_log.now();
                 if let Some(index) = index {
-                    reader_log.records().asked[index].ends.push((end, at));
+                    reader_log.records().requests[index].ends.push((end, at));
                 }
             }
             let at = reader_log.now();
@@ -134,7 +134,7 @@
                 in_flight.is_closed = true;
                 std::mem::take(&mut in_flight.indices)
             };
-            unanswered.into_values().for_each(|index| record_broken(&reader_log, index, at));
+            unanswered.into_values().for_each(|index| record_disconnect(&reader_log, index, at));
         });
         Some(Session { target, log, socket, in_flight, seqid: 0 })
     }
@@ -180,36 +180,36 @@
         let bytes = dispatch(self.seqid, &fields, b"x");
         let index = {
             let mut records = self.log.records();
-            records.asked.push(Asked {
+            records.requests.push(ClientRequest {
                 id,
                 class,
                 daemon: self.target.daemon,
                 at: self.log.now(),
-                allowed: self.target.allowed_ms as At,
-                gone_at: None,
+                allowed: self.target.allowed_ms as Millis,
+                abandoned_at: None,
                 ends: Vec::new(),
-                broken_at: None,
+                disconnected_at: None,
             });
-            records.asked.len() - 1
+            records.requests.len() - 1
         };
         lock(&self.in_flight).indices.insert(self.seqid, index);
         if self.socket.write_all(&bytes).is_err() {
             // The daemon didn't get the whole request; a real client would send it to another daemon.
             lock(&self.in_flight).indices.remove(&self.seqid);
             let at = self.log.now();
-            self.log.records().asked[index].gone_at = Some(at);
+            self.log.records().requests[index].abandoned_at = Some(at);
             return None;
         }
         // The deadline counts from the last byte of the request.
         let at = self.log.now();
-        self.log.records().asked[index].at = at;
+        self.log.records().requests[index].at = at;
         let is_unread = {
             let mut in_flight = lock(&self.in_flight);
             in_flight.is_closed && in_flight.indices.remove(&self.seqid).is_some()
         };
         if is_unread {
             // The connection had ended before the request was written.
-            record_broken(self.log, index, at);
+            record_disconnect(self.log, index, at);
             return None;
         }
         Some((index, id))
@@ -222,24 +222,24 @@
         // Fails if the connection has ended; a real client would send its requests to another daemon.
         let _ = self.socket.write_all(&cancel(self.seqid));
         let at = self.log.now();
-        self.log.records().asked[index].gone_at = Some(at);
+        self.log.records().requests[index].abandoned_at = Some(at);
     }
 
     fn disconnect(&mut self) {
         let unanswered = std::mem::take(&mut lock(&self.in_flight).indices);
         let at = self.log.now();
         let mut records = self.log.records();
-        unanswered.into_values().for_each(|index| records.asked[index].gone_at = Some(at));
+        unanswered.into_values().for_each(|index| records.requests[index].abandoned_at = Some(at));
         drop(records);
         let _ = self.socket.shutdown(Shutdown::Both);
     }
 }
 
 /// Records that the connection of a request ended, unless the client abandoned the request before.
-fn record_broken(log: &Log, index: usize, at: At) {
-    let asked = &mut log.records().asked[index];
-    if asked.gone_at.is_none() {
-        asked.broken_at = Some(at);
+fn record_disconnect(log: &Log, index: usize, at: Millis) {
+    let request = &mut log.records().requests[index];
+    if request.abandoned_at.is_none() {
+        request.disconnected_at = Some(at);
     }
 }
 
--- a/crates/rig/src/faults/log.rs
+++ b/crates/rig/src/faults/log.rs
@@ -1,5 +1,5 @@
 //! Shared recorder of a soak.
-use super::records::{At, Records};
+use super::records::{Millis, Records};
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Instant;
 
@@ -12,13 +12,13 @@
 
 impl Log {
     /// Starts the clock; `window` is the deduplication window of the keyed class, in milliseconds.
-    pub fn new(window: At) -> Self {
+    pub fn new(window: Millis) -> Self {
         let records = Records { window, ..Records::default() };
         Log { started: Instant::now(), records: Arc::new(Mutex::new(records)) }
     }
 
     /// Milliseconds since the start of the soak.
-    pub fn now(&self) -> At {
+    pub fn now(&self) -> Millis {
         self.started.elapsed().as_secs_f64() * 1000.0
     }
 
--- a/crates/rig/src/faults/mod.rs
+++ b/crates/rig/src/faults/mod.rs
@@ -22,7 +22,7 @@
 use client::{FunctionMix, Target};
 use log::Log;
 use process::Process;
-use records::{At, Drained, End, Records, CLASSES};
+use records::{DrainNotice, Millis, Records, RequestOutcome, CLASSES};
 use rustix::process::Signal;
 pub use scenario::{InjectedFault, Scenario};
 use std::io;
@@ -30,7 +30,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-use verdict::{judge, Break};
+use verdict::{judge, Violation};
 use worker::Worker;
 
 /// Number of functions that clients call.
@@ -62,13 +62,13 @@
 #[derive(Debug)]
 pub struct Outcome {
     /// Number of requests that clients sent.
-    pub asked: usize,
+    pub requests: usize,
     /// Fraction of the requests served, by class, without those their clients abandoned.
     pub served: [f64; CLASSES.len()],
     /// Number of requests that workers received.
     pub arrivals: usize,
     /// Violations of the rules.
-    pub breaks: Vec<Break>,
+    pub violations: Vec<Violation>,
     /// Largest resident memory (bytes) and number of open descriptors of any daemon.
     pub peaks: (u64, u64),
     /// Whether all daemons stayed within their limits.
@@ -113,17 +113,20 @@
 
 fn outcome(records: &Records, daemons: &[Arc<Process>]) -> Outcome {
     let served = |class: usize| {
-        let of_class = records.asked.iter().filter(|asked| asked.class == class && asked.gone_at.is_none());
-        let is_served = |end: &(End, At)| end.0 == End::Served;
-        let served = of_class.clone().filter(|asked| asked.ends.first().is_some_and(is_served)).count();
+        let of_class = records
+            .requests
+            .iter()
+            .filter(|request| request.class == class && request.abandoned_at.is_none());
+        let is_served = |end: &(RequestOutcome, Millis)| end.0 == RequestOutcome::Served;
+        let served = of_class.clone().filter(|request| request.ends.first().is_some_and(is_served)).count();
         served as f64 / of_class.count().max(1) as f64
     };
     let peaks: Vec<_> = daemons.iter().map(|daemon| daemon.peaks()).collect();
     Outcome {
-        asked: records.asked.len(),
+        requests: records.requests.len(),
         served: std::array::from_fn(served),
         arrivals: records.arrivals.len(),
-        breaks: judge(records),
+        violations: judge(records),
         peaks: peaks
             .iter()
             .fold((0, 0), |most, peak| (most.0.max(peak.resident), most.1.max(peak.descriptors))),
@@ -133,7 +136,7 @@
 
 impl SoakRun {
     fn start(scenario: Scenario, seed: u64, places: &SoakPaths) -> io::Result<Self> {
-        let log = Log::new(scenario.window_ms as At);
+        let log = Log::new(scenario.window_ms as Millis);
         let workers: Vec<Worker> = (0..scenario.workers)
             .map(|number| Worker::start(number, number % 2, seed, &log))
             .collect::<io::Result<_>>()?;
@@ -200,15 +203,17 @@
         let (old, replacement) = {
             let mut workers = self.workers();
             let number = workers.iter().map(|worker| worker.number).max().unwrap_or(0) + 1;
-            let replacement = Worker::start(number, workers[index].rack, self.seed, &self.log)?;
+            let replacement = Worker::start(number, workers[index].cell, self.seed, &self.log)?;
             (std::mem::replace(&mut workers[index], replacement.clone()), replacement)
         };
         let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64() * 1000.0;
         for (daemon, channel) in self.channels.iter().enumerate() {
-            channel
-                .change(&[endpoint_entry(&old, "draining", 0.0), endpoint_entry(&replacement, "up", since)]);
-            let told_at = self.log.now();
-            self.log.records().drained.push(Drained { worker: old.number, daemon, told_at });
+            channel.push_changes(&[
+                endpoint_entry(&old, "draining", 0.0),
+                endpoint_entry(&replacement, "up", since),
+            ]);
+            let notified_at = self.log.now();
+            self.log.records().drained.push(DrainNotice { worker: old.number, daemon, notified_at });
         }
         Ok(())
     }
@@ -219,7 +224,7 @@
 }
 
 fn endpoint_entry(worker: &Worker, status: &str, since_ms: f64) -> serde_json::Value {
-    endpoint(&format!("w{}", worker.number), worker.address, worker.rack, status, since_ms)
+    endpoint(&format!("w{}", worker.number), worker.address, worker.cell, status, since_ms)
 }
 
 /// Starts clients at a steady rate; each sends one request and keeps its connection open for a while.
--- a/crates/rig/src/faults/process.rs
+++ b/crates/rig/src/faults/process.rs
@@ -1,7 +1,7 @@
 //! A daemon on the Thrift front with fault injection; a new process replaces each one that ends.
 use super::channel::Channel;
 use super::log::Log;
-use super::records::{At, Span};
+use super::records::{Millis, Span};
 use super::scenario::{syscall_fault, Scenario};
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::json;
@@ -208,7 +208,7 @@
     pub fn poll(&self) -> io::Result<()> {
         let Ok(mut child) = self.child.try_lock() else { return Ok(()) };
         if child.try_wait()?.is_some() {
-            let at: At = self.log.now();
+            let at: Millis = self.log.now();
             self.log.records().crashed.push((self.number, at));
             return self.restart(&mut child);
         }
@@ -259,7 +259,7 @@
 
 fn write_config(folder: &Path, config: &serde_json::Value, channel: &Channel) -> io::Result<()> {
     let mut config = config.clone();
-    config["known"] = channel.known();
+    config["known"] = channel.initial_state();
     std::fs::write(folder.join("config.json"), config.to_string())
 }
 
@@ -273,7 +273,7 @@
     json!({
         "name": format!("n{number}"), "listen": "127.0.0.1:1", "seed": format!("{number:016x}"),
         "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": MAX_DESCRIPTORS},
-        "channel": channel.address.to_string(), "known": channel.known(), "settings": settings
+        "channel": channel.address.to_string(), "known": channel.initial_state(), "settings": settings
     })
 }
 
--- a/crates/rig/src/faults/records.rs
+++ b/crates/rig/src/faults/records.rs
@@ -1,7 +1,7 @@
 //! What clients and workers record during a soak. Times are in milliseconds since its start.
 
 /// A time in milliseconds since the start of a soak, or a duration in milliseconds.
-pub type At = f64;
+pub type Millis = f64;
 
 /// The effect of repeating a request of a class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -20,7 +20,7 @@
 
 /// The outcome of a request as its client sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum RequestOutcome {
     /// The client got a worker's answer.
     Served,
     /// The request was refused and is safe to retry.
@@ -31,7 +31,7 @@
 
 /// A request as its client recorded it.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct ClientRequest {
     /// Request id.
     pub id: u64,
     /// Index of the class in [`CLASSES`].
@@ -39,15 +39,15 @@
     /// The daemon that the client sent it to.
     pub daemon: usize,
     /// When its last byte was written.
-    pub at: At,
+    pub at: Millis,
     /// How long the client waits, in milliseconds.
-    pub allowed: At,
+    pub allowed: Millis,
     /// When the client cancelled it or closed the connection.
-    pub gone_at: Option<At>,
+    pub abandoned_at: Option<Millis>,
     /// The answers; more than one violates the rules.
-    pub ends: Vec<(End, At)>,
+    pub ends: Vec<(RequestOutcome, Millis)>,
     /// When the connection ended, unless the client cancelled or closed it first.
-    pub broken_at: Option<At>,
+    pub disconnected_at: Option<Millis>,
 }
 
 /// A request as a worker received it.
@@ -58,13 +58,13 @@
     /// The worker.
     pub worker: usize,
     /// The worker's cell.
-    pub rack: usize,
+    pub cell: usize,
     /// When the worker had received the whole request.
-    pub at: At,
+    pub at: Millis,
     /// The remaining time stated in the request, in milliseconds.
-    pub left: At,
+    pub remaining_ms: Millis,
     /// Whether the worker ran it.
-    pub ran: bool,
+    pub was_run: bool,
 }
 
 /// A time span that concerns one daemon.
@@ -73,39 +73,39 @@
     /// The daemon.
     pub daemon: usize,
     /// Start of the span.
-    pub from: At,
+    pub from: Millis,
     /// End of the span.
-    pub to: At,
+    pub to: Millis,
 }
 
 /// The moment at which a daemon was notified that a worker drains.
 #[derive(Clone, Copy, Debug)]
-pub struct Drained {
+pub struct DrainNotice {
     /// The worker.
     pub worker: usize,
     /// The daemon that was notified.
     pub daemon: usize,
     /// When the daemon was notified.
-    pub told_at: At,
+    pub notified_at: Millis,
 }
 
 /// Everything recorded in a soak.
 #[derive(Clone, Debug, Default)]
 pub struct Records {
     /// Requests, recorded by clients.
-    pub asked: Vec<Asked>,
+    pub requests: Vec<ClientRequest>,
     /// Requests, recorded by workers.
     pub arrivals: Vec<Arrival>,
     /// When daemons were stopped with SIGSTOP.
     pub paused: Vec<Span>,
     /// Daemons that were killed without SIGTERM first, and when.
-    pub killed: Vec<(usize, At)>,
+    pub killed: Vec<(usize, Millis)>,
     /// Daemons that exited by themselves, and when.
-    pub crashed: Vec<(usize, At)>,
+    pub crashed: Vec<(usize, Millis)>,
     /// Drain notifications.
-    pub drained: Vec<Drained>,
+    pub drained: Vec<DrainNotice>,
     /// Deduplication window of the keyed class, in milliseconds.
-    pub window: At,
+    pub window: Millis,
     /// When the soak ended.
-    pub ended: At,
+    pub ended: Millis,
 }
--- a/crates/rig/src/faults/thrift.rs
+++ b/crates/rig/src/faults/thrift.rs
@@ -1,5 +1,5 @@
 //! Encodes and decodes the platform's Thrift messages for a client, independently of the daemon's own codec.
-use super::records::End;
+use super::records::RequestOutcome;
 use std::io::{self, Read};
 
 fn length_prefixed(bytes: &[u8]) -> Vec<u8> {
@@ -30,7 +30,7 @@
 }
 
 /// Reads the next reply. Returns the sequence number of its request and the outcome.
-pub fn receive(socket: &mut impl Read) -> io::Result<(i32, End)> {
+pub fn receive(socket: &mut impl Read) -> io::Result<(i32, RequestOutcome)> {
     let mut size = [0; 4];
     socket.read_exact(&mut size)?;
     let mut bytes = vec![0; u32::from_be_bytes(size) as usize];
@@ -45,9 +45,9 @@
     let seqid = read_u32(after_name)? as i32;
     let (kind, field) = (bytes.get(3), bytes.get(after_name + 6));
     let end = match (kind.ok_or_else(malformed)?, field.ok_or_else(malformed)?) {
-        (2, 0) => End::Served,
-        (2, 1) => End::Refused,
-        _ => End::Failed,
+        (2, 0) => RequestOutcome::Served,
+        (2, 1) => RequestOutcome::Refused,
+        _ => RequestOutcome::Failed,
     };
     Ok((seqid, end))
 }
--- a/crates/rig/src/faults/worker.rs
+++ b/crates/rig/src/faults/worker.rs
@@ -1,6 +1,6 @@
 //! A simulated worker that speaks the frame protocol and records the requests it receives.
 use super::log::{draw, Log};
-use super::records::{Arrival, At};
+use super::records::{Arrival, Millis};
 use corkbay_node::wire::frames::{code, Frame, FROM_INVOKER, FROM_WORKER};
 use std::io::{self, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -24,7 +24,7 @@
     /// The worker's number; it is never reused.
     pub number: usize,
     /// The worker's cell.
-    pub rack: usize,
+    pub cell: usize,
     seed: u64,
     log: Log,
     state: Arc<Mutex<State>>,
@@ -32,7 +32,7 @@
 
 #[derive(Default)]
 struct State {
-    silent_until: At,
+    silent_until: Millis,
     sockets: Vec<TcpStream>,
     /// Number of requests received; gives each one its own random draw.
     request_count: u64,
@@ -40,10 +40,10 @@
 
 impl Worker {
     /// Starts a worker on a free port.
-    pub fn start(number: usize, rack: usize, seed: u64, log: &Log) -> io::Result<Self> {
+    pub fn start(number: usize, cell: usize, seed: u64, log: &Log) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
-        let worker = Worker { address, number, rack, seed, log: log.clone(), state: Arc::default() };
+        let worker = Worker { address, number, cell, seed, log: log.clone(), state: Arc::default() };
         let accepting_worker = worker.clone();
         std::thread::spawn(move || {
             for socket in listener.incoming().map_while(Result::ok) {
@@ -90,7 +90,7 @@
     /// Handles a request. Returns `false` if the connection has ended.
     fn handle_request(&self, frame: &Frame, socket: &TcpStream) -> bool {
         let at = self.log.now();
-        let left = frame.field("ms").and_then(|ms| ms.parse().ok()).unwrap_or(At::INFINITY);
+        let remaining_ms = frame.field("ms").and_then(|ms| ms.parse().ok()).unwrap_or(Millis::INFINITY);
         let (is_silent, request_count) = {
             let mut state = self.state();
             state.request_count += 1;
@@ -98,8 +98,15 @@
         };
         let sample = draw(self.seed ^ self.number as u64, request_count);
         let is_full = !is_silent && sample < FULL_FRACTION;
-        let (id, ran) = (frame.id, !is_full);
-        self.log.records().arrivals.push(Arrival { id, worker: self.number, rack: self.rack, at, left, ran });
+        let (id, was_run) = (frame.id, !is_full);
+        self.log.records().arrivals.push(Arrival {
+            id,
+            worker: self.number,
+            cell: self.cell,
+            at,
+            remaining_ms,
+            was_run,
+        });
         if is_full {
             reply(socket, code::FULL, id);
         } else if sample < FULL_FRACTION + DISCONNECT_FRACTION {
--- a/crates/rig/src/fleet.rs
+++ b/crates/rig/src/fleet.rs
@@ -19,15 +19,15 @@
 
 /// Properties of emulated workers.
 #[derive(Clone, Copy, Debug)]
-pub struct Kind {
+pub struct WorkerProfile {
     /// Memory for models, in MB.
     pub memory_mb: f64,
     /// Memory of one copy, in MB.
     pub copy_mb: f64,
     /// Time to load a copy.
-    pub load: Duration,
+    pub load_time: Duration,
     /// Run time of a call on a warm worker.
-    pub work: Duration,
+    pub call_time: Duration,
     /// Time after its start until a worker runs at full speed.
     pub cold: Duration,
     /// Number of calls that run at a time; further ones are rejected as full.
@@ -36,13 +36,13 @@
     pub loads: bool,
 }
 
-impl Default for Kind {
+impl Default for WorkerProfile {
     fn default() -> Self {
-        Kind {
+        WorkerProfile {
             memory_mb: 2048.0,
             copy_mb: 64.0,
-            load: Duration::from_millis(200),
-            work: Duration::from_millis(20),
+            load_time: Duration::from_millis(200),
+            call_time: Duration::from_millis(20),
             cold: Duration::from_secs(2),
             slots: 32,
             loads: true,
@@ -60,7 +60,7 @@
 struct Worker {
     number: usize,
     address: SocketAddr,
-    kind: Kind,
+    profile: WorkerProfile,
     schedule: FaultSchedule,
     began: Instant,
     state: Mutex<State>,
@@ -93,8 +93,8 @@
 }
 
 impl Fleet {
-    /// Starts workers of a kind on free ports.
-    pub fn start(count: usize, kind: Kind, schedule: FaultSchedule) -> io::Result<Self> {
+    /// Starts workers with a profile on free ports.
+    pub fn start(count: usize, profile: WorkerProfile, schedule: FaultSchedule) -> io::Result<Self> {
         let began = Instant::now();
         let worker = |number| {
             let listener = TcpListener::bind("127.0.0.1:0")?;
@@ -103,7 +103,7 @@
             let worker = Arc::new(Worker {
                 number,
                 address,
-                kind,
+                profile,
                 schedule,
                 began,
                 state: Mutex::new(state),
@@ -176,23 +176,23 @@
 
     /// Decides whether a new call runs; if so, it holds a slot until [`Worker::finish_call`].
     fn admit(&self, model: &str) -> Admission {
-        let (now, kind) = (Instant::now(), &self.kind);
+        let (now, profile) = (Instant::now(), &self.profile);
         let mut state = self.state();
-        if state.slots_in_use >= kind.slots {
+        if state.slots_in_use >= profile.slots {
             return Admission::Full;
         }
-        let is_loaded = state.copies.contains_key(model) || kind.loads && state.load(model, kind, now);
+        let is_loaded = state.copies.contains_key(model) || profile.loads && state.load(model, profile, now);
         if !is_loaded {
             return Admission::Miss;
         }
-        let age = now.duration_since(state.started).as_secs_f64() / kind.cold.as_secs_f64().max(1e-3);
+        let age = now.duration_since(state.started).as_secs_f64() / profile.cold.as_secs_f64().max(1e-3);
         let speed = (COLD_SPEED + (1.0 - COLD_SPEED) * age).min(1.0);
         let load = state.copies.get_mut(model).map_or(Duration::ZERO, |copy| {
             copy.last_used = now;
             copy.ready_at.saturating_duration_since(now)
         });
         state.slots_in_use += 1;
-        Admission::Run { after: load + kind.work.div_f64(speed) }
+        Admission::Run { after: load + profile.call_time.div_f64(speed) }
     }
 
     fn finish_call(&self) {
@@ -325,7 +325,7 @@
         let now = Instant::now();
         let mut state = self.state();
         if wanted > 0 && !state.copies.contains_key(model) {
-            state.load(model, &self.kind, now);
+            state.load(model, &self.profile, now);
         }
         state.copies.get(model).map(|copy| copy.ready_at.saturating_duration_since(now))
     }
@@ -333,8 +333,8 @@
 
 impl State {
     /// Starts to load a model; evicts the least recently used copies as needed. Returns `false` if there is no room.
-    fn load(&mut self, model: &str, kind: &Kind, now: Instant) -> bool {
-        let max_copies = (kind.memory_mb / kind.copy_mb.max(1.0)) as usize;
+    fn load(&mut self, model: &str, profile: &WorkerProfile, now: Instant) -> bool {
+        let max_copies = (profile.memory_mb / profile.copy_mb.max(1.0)) as usize;
         while self.copies.len() >= max_copies.max(1) {
             let idle = self
                 .copies
@@ -344,7 +344,8 @@
             let Some(oldest) = idle.map(|(name, _)| name.clone()) else { return false };
             self.copies.remove(&oldest);
         }
-        self.copies.insert(model.to_string(), ModelCopy { ready_at: now + kind.load, last_used: now });
+        self.copies
+            .insert(model.to_string(), ModelCopy { ready_at: now + profile.load_time, last_used: now });
         true
     }
 }
--- a/crates/rig/src/grow/daemon.rs
+++ b/crates/rig/src/grow/daemon.rs
@@ -31,7 +31,7 @@
     pub address: SocketAddr,
     log: PathBuf,
     /// Time from the start until connections were accepted.
-    pub ready_after: Duration,
+    pub startup_time: Duration,
     is_running: Arc<AtomicBool>,
     throttle: Option<JoinHandle<()>>,
 }
@@ -71,7 +71,7 @@
         });
         let began = Instant::now();
         let mut daemon =
-            Daemon { child, address, log: log_path, ready_after: Duration::ZERO, is_running, throttle };
+            Daemon { child, address, log: log_path, startup_time: Duration::ZERO, is_running, throttle };
         while TcpStream::connect(address).is_err() {
             if began.elapsed() > READY_TIMEOUT {
                 return Err(io::Error::other(
@@ -80,7 +80,7 @@
             }
             std::thread::sleep(POLL_INTERVAL);
         }
-        daemon.ready_after = began.elapsed();
+        daemon.startup_time = began.elapsed();
         Ok(daemon)
     }
 
@@ -168,6 +168,6 @@
     json!({
         "name": "n0", "listen": "127.0.0.1:1", "seed": "0000000000000001",
         "limits": {"cores": setup.core_share.unwrap_or(1.0), "memory_mb": setup.memory_mb, "sockets": MAX_DESCRIPTORS},
-        "channel": channel.address.to_string(), "known": channel.known(), "settings": settings
+        "channel": channel.address.to_string(), "known": channel.initial_state(), "settings": settings
     })
 }
--- a/crates/rig/src/grow/run.rs
+++ b/crates/rig/src/grow/run.rs
@@ -4,8 +4,8 @@
 use crate::faults::channel::Channel;
 use crate::faults::client::{self, FunctionMix, Target};
 use crate::faults::log::Log;
-use crate::faults::records::{At, Drained, End, Records};
-use crate::faults::verdict::{judge, Break, Rule};
+use crate::faults::records::{DrainNotice, Millis, Records, RequestOutcome};
+use crate::faults::verdict::{judge, Rule, Violation};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::io;
@@ -15,7 +15,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 const ZONES: [&str; 3] = ["hall-a", "hall-b", "hall-c"];
-const RACKS: usize = 18;
+const CELLS: usize = 18;
 const FUNCTIONS: u64 = 40;
 const CLIENTS: usize = 4;
 const DEDUP_WINDOW_MS: u64 = 3000;
@@ -83,7 +83,7 @@
     /// Number of workers listed at a time.
     pub workers: usize,
     /// Time from the daemon's start until it accepted connections.
-    pub ready_after: Duration,
+    pub startup_time: Duration,
     /// CPU time of the daemon over the whole run, in seconds.
     pub cpu_s: f64,
     /// Peak resident memory of the daemon, in bytes.
@@ -95,20 +95,20 @@
     /// Bytes that the command channel sent.
     pub list_bytes: f64,
     /// Number of requests sent.
-    pub asked: usize,
+    pub requests: usize,
     /// Fraction of the requests that were served, leaving out those that clients abandoned.
     pub served: f64,
     /// Whether the daemon had no room for some of the listed workers.
-    pub left_workers_out: bool,
+    pub has_unlisted_workers: bool,
     /// Rule violations found in the records.
-    pub breaks: Vec<Break>,
+    pub violations: Vec<Violation>,
 }
 
 impl Reading {
     /// Number of violations of each rule.
-    pub fn breaks_by_rule(&self) -> BTreeMap<Rule, usize> {
+    pub fn violations_by_rule(&self) -> BTreeMap<Rule, usize> {
         let mut counts = BTreeMap::new();
-        self.breaks.iter().for_each(|found| *counts.entry(found.rule).or_default() += 1);
+        self.violations.iter().for_each(|found| *counts.entry(found.rule).or_default() += 1);
         counts
     }
 }
@@ -155,28 +155,28 @@
         let records = fleet.records();
         Ok(Reading {
             workers: self.workers,
-            ready_after: daemon.ready_after,
+            startup_time: daemon.startup_time,
             cpu_s: daemon.usage()?.cpu_s,
             peak_resident: daemon.peak_resident()?,
             peak_descriptors,
             connections_made: fleet.workers.connections_made() as f64,
-            list_bytes: fleet.channel.bytes_told() as f64,
-            asked: records.asked.len(),
+            list_bytes: fleet.channel.bytes_sent() as f64,
+            requests: records.requests.len(),
             served: served(&records),
-            left_workers_out: daemon.log()?.contains(NO_ROOM_LOG_TEXT),
-            breaks: judge(&records),
+            has_unlisted_workers: daemon.log()?.contains(NO_ROOM_LOG_TEXT),
+            violations: judge(&records),
         })
     }
 }
 
 fn served(records: &Records) -> f64 {
-    let not_abandoned = records.asked.iter().filter(|asked| asked.gone_at.is_none());
-    let is_served = |end: &(End, At)| end.0 == End::Served;
-    let served = not_abandoned.clone().filter(|asked| asked.ends.first().is_some_and(is_served)).count();
+    let not_abandoned = records.requests.iter().filter(|request| request.abandoned_at.is_none());
+    let is_served = |end: &(RequestOutcome, Millis)| end.0 == RequestOutcome::Served;
+    let served = not_abandoned.clone().filter(|request| request.ends.first().is_some_and(is_served)).count();
     served as f64 / not_abandoned.count().max(1) as f64
 }
 
-/// ClientFlags that control the client threads.
+/// Flags that control the client threads.
 struct ClientFlags {
     is_open: Arc<AtomicBool>,
     is_running: Arc<AtomicBool>,
@@ -209,8 +209,8 @@
 
 impl Fleet {
     fn start(run: &GrowthRun) -> io::Result<Self> {
-        let (size, log) = (run.workers, Log::new(DEDUP_WINDOW_MS as At));
-        let workers = SimulatedWorkers::start(size + size / RELEASED_ONE_IN, size, RACKS, &log)?;
+        let (size, log) = (run.workers, Log::new(DEDUP_WINDOW_MS as Millis));
+        let workers = SimulatedWorkers::start(size + size / RELEASED_ONE_IN, size, CELLS, &log)?;
         let list: Vec<Value> = (0..size).map(|number| endpoint(&workers, number, "up", 0.0)).collect();
         let channel = Channel::start(&list)?;
         Ok(Fleet { size, workers, channel, log })
@@ -257,15 +257,15 @@
         let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64() * 1000.0;
         let drained = old.clone().map(|number| endpoint(&self.workers, number, "draining", 0.0));
         let fresh = old.clone().map(|number| endpoint(&self.workers, self.size + number, "up", since));
-        self.channel.change(&drained.chain(fresh).collect::<Vec<_>>());
-        let told_at = self.log.now();
-        let drained = old.map(|worker| Drained { worker, daemon: 0, told_at });
+        self.channel.push_changes(&drained.chain(fresh).collect::<Vec<_>>());
+        let notified_at = self.log.now();
+        let drained = old.map(|worker| DrainNotice { worker, daemon: 0, notified_at });
         self.log.records().drained.extend(drained);
     }
 }
 
 fn endpoint(workers: &SimulatedWorkers, number: usize, status: &str, since_ms: f64) -> Value {
     json!({"name": format!("s-{number:08x}"), "address": workers.addresses[number].to_string(),
-           "zone": ZONES[number % ZONES.len()], "type": "std", "group": number % RACKS,
+           "zone": ZONES[number % ZONES.len()], "type": "std", "group": number % CELLS,
            "status": status, "weight": 1.0, "since_ms": since_ms})
 }
--- a/crates/rig/src/grow/workers.rs
+++ b/crates/rig/src/grow/workers.rs
@@ -3,7 +3,7 @@
 //! A worker keeps only the names of its loaded models, answers a request after a simulated work time and records
 //! each arrival.
 use crate::faults::log::{draw, Log};
-use crate::faults::records::{Arrival, At};
+use crate::faults::records::{Arrival, Millis};
 use corkbay_node::wire::frames::{code, Frame, FROM_INVOKER, FROM_WORKER};
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token};
@@ -45,10 +45,10 @@
 
 impl SimulatedWorkers {
     /// Starts `count` workers, of which `in_use` are listed at a time; these share the total capacity.
-    pub fn start(count: usize, in_use: usize, racks: usize, log: &Log) -> io::Result<Self> {
+    pub fn start(count: usize, in_use: usize, cells: usize, log: &Log) -> io::Result<Self> {
         let (commands, command_receiver) = channel();
         let connections_made = Arc::<AtomicU64>::default();
-        let mut server = Server::new(in_use, racks, log.clone(), connections_made.clone())?;
+        let mut server = Server::new(in_use, cells, log.clone(), connections_made.clone())?;
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let addresses = (0..count).map(|_| server.listen(any)).collect::<io::Result<_>>()?;
         std::thread::spawn(move || server.run(&command_receiver));
@@ -104,13 +104,13 @@
     answers: BTreeMap<u64, Answer>,
     next_answer: u64,
     lanes: usize,
-    racks: usize,
+    cells: usize,
     log: Log,
     connections_made: Arc<AtomicU64>,
 }
 
 impl Server {
-    fn new(in_use: usize, racks: usize, log: Log, connections_made: Arc<AtomicU64>) -> io::Result<Self> {
+    fn new(in_use: usize, cells: usize, log: Log, connections_made: Arc<AtomicU64>) -> io::Result<Self> {
         Ok(Server {
             poll: Poll::new()?,
             workers: Vec::new(),
@@ -120,7 +120,7 @@
             answers: BTreeMap::new(),
             next_answer: 0,
             lanes: (TOTAL_LANES / in_use.max(1)).max(1),
-            racks,
+            cells,
             log,
             connections_made,
         })
@@ -235,7 +235,7 @@
 
     fn request(&mut self, connection: usize, number: usize, frame: &Frame) {
         let at = self.log.now();
-        let left = frame.field("ms").and_then(|ms| ms.parse().ok()).unwrap_or(At::INFINITY);
+        let remaining_ms = frame.field("ms").and_then(|ms| ms.parse().ok()).unwrap_or(Millis::INFINITY);
         let model = frame.field("obj").unwrap_or_default().to_string();
         let worker = &mut self.workers[number];
         let refusal = match () {
@@ -243,8 +243,8 @@
             _ if worker.busy >= self.lanes => Some(code::FULL),
             _ => None,
         };
-        let (id, rack, ran) = (frame.id, number % self.racks, refusal.is_none());
-        self.log.records().arrivals.push(Arrival { id, worker: number, rack, at, left, ran });
+        let (id, cell, was_run) = (frame.id, number % self.cells, refusal.is_none());
+        self.log.records().arrivals.push(Arrival { id, worker: number, cell, at, remaining_ms, was_run });
         if let Some(code) = refusal {
             return self.write(connection, &reply(code, id, ""));
         }
--- a/crates/rig/src/load.rs
+++ b/crates/rig/src/load.rs
@@ -17,7 +17,7 @@
 
 /// Results of the calls of one class and style.
 #[derive(Clone, Debug)]
-pub struct Group {
+pub struct CallResults {
     /// Time from the scheduled time of a call to its final answer, in microseconds.
     pub latency: Histogram<u64>,
     /// Number of final answers by status; 0 stands for a failed connection or a timeout.
@@ -25,11 +25,14 @@
 }
 
 /// Results of a plan, by class and style.
-pub type Outcome = BTreeMap<String, Group>;
+pub type Outcome = BTreeMap<String, CallResults>;
 
-impl Group {
+impl CallResults {
     fn new() -> Result<Self, hdrhistogram::CreationError> {
-        Ok(Group { latency: Histogram::new_with_bounds(1, MAX_LATENCY_US, 3)?, statuses: BTreeMap::new() })
+        Ok(CallResults {
+            latency: Histogram::new_with_bounds(1, MAX_LATENCY_US, 3)?,
+            statuses: BTreeMap::new(),
+        })
     }
 
     /// Total number of answers.
@@ -46,7 +49,7 @@
     threads: usize,
 ) -> io::Result<Outcome> {
     let (plan, outcome, started) = (Mutex::new(plan), Mutex::new(Outcome::new()), Instant::now());
-    let empty = Group::new().map_err(io::Error::other)?;
+    let empty = CallResults::new().map_err(io::Error::other)?;
     std::thread::scope(|scope| {
         for _ in 0..threads.max(1) {
             scope.spawn(|| {
@@ -60,9 +63,9 @@
                     let class = arrival.function.split('-').next().unwrap_or_default();
                     let style = if arrival.deferred { "deferred" } else { "held" };
                     let mut outcome = outcome.lock().unwrap_or_else(PoisonError::into_inner);
-                    let group = outcome.entry(format!("{class} {style}")).or_insert_with(|| empty.clone());
-                    group.latency.saturating_record(latency_us.max(1));
-                    *group.statuses.entry(status).or_default() += 1;
+                    let results = outcome.entry(format!("{class} {style}")).or_insert_with(|| empty.clone());
+                    results.latency.saturating_record(latency_us.max(1));
+                    *results.statuses.entry(status).or_default() += 1;
                 }
             });
         }
@@ -76,10 +79,10 @@
     let mut headers = Vec::new();
     headers.extend(arrival.key.as_deref().map(|key| ("Idempotency-Key", key)));
     headers.extend(arrival.deferred.then_some(("Prefer", "respond-async")));
-    let mut response = client.ask("POST", &path, &headers, &vec![b'x'; arrival.body])?;
+    let mut response = client.send_request("POST", &path, &headers, &vec![b'x'; arrival.body])?;
     while response.status == 202 && !arrival.abandoned {
         let Some(location) = response.head.headers.get("location").map(str::to_string) else { break };
-        response = client.ask("GET", &location, &[("Prefer", "wait=5")], b"")?;
+        response = client.send_request("GET", &location, &[("Prefer", "wait=5")], b"")?;
     }
     Ok(response)
 }
--- a/crates/rig/src/main.rs
+++ b/crates/rig/src/main.rs
@@ -4,10 +4,10 @@
 use corkbay_rig::daemon::{default_program, Daemon, Deployment};
 use corkbay_rig::fault_schedule::FaultSchedule;
 use corkbay_rig::faults::{self, Scenario, SoakPaths};
-use corkbay_rig::fleet::{Fleet, Kind};
+use corkbay_rig::fleet::{Fleet, WorkerProfile};
 use corkbay_rig::grow;
 use corkbay_rig::plan::{OfferedLoad, Plan};
-use corkbay_rig::scale::feed::hollow;
+use corkbay_rig::scale::feed::headless;
 use corkbay_rig::scale::{self, Experiment, ScaleContext};
 use corkbay_rig::soak::{flood_names, Soak, STEADY};
 use corkbay_rig::verdict::{judge, Bounds};
@@ -154,19 +154,23 @@
         Task::Demo => demo(&Daemon::start(
             &program()?,
             out,
-            &small_deployment(&Fleet::start(3, Kind::default(), FaultSchedule { seed, fault_rate: 0.0 })?),
+            &small_deployment(&Fleet::start(
+                3,
+                WorkerProfile::default(),
+                FaultSchedule { seed, fault_rate: 0.0 },
+            )?),
         )?),
         Task::Fleet { workers, seconds, trouble, ordered } => {
-            let kind = Kind { loads: !ordered, ..Kind::default() };
-            let fleet = Fleet::start(*workers, kind, FaultSchedule { seed, fault_rate: *trouble })?;
+            let profile = WorkerProfile { loads: !ordered, ..WorkerProfile::default() };
+            let fleet = Fleet::start(*workers, profile, FaultSchedule { seed, fault_rate: *trouble })?;
             fleet.addresses().iter().for_each(|address| println!("{address}"));
             std::thread::sleep(Duration::from_secs(*seconds));
             Ok(true)
         }
         Task::Load { rate, seconds, threads, trouble, protocol } => {
             let protocol = if protocol == "frames" { "frames" } else { "http" };
-            let kind = Kind { loads: protocol == "http", ..Kind::default() };
-            let fleet = Fleet::start(6, kind, FaultSchedule { seed, fault_rate: *trouble })?;
+            let profile = WorkerProfile { loads: protocol == "http", ..WorkerProfile::default() };
+            let fleet = Fleet::start(6, profile, FaultSchedule { seed, fault_rate: *trouble })?;
             let offered_load = OfferedLoad { rate: *rate, ..OfferedLoad::default() };
             let deployment =
                 Deployment { protocol, functions: offered_load.functions, ..small_deployment(&fleet) };
@@ -200,7 +204,8 @@
         }
         Task::Soak { minutes, head } => {
             let span = Duration::try_from_secs_f64(minutes * 60.0)?;
-            let soak = Soak { span, seed, program: program()?, folder: out.clone(), head: head.clone() };
+            let soak =
+                Soak { span, seed, program: program()?, folder: out.clone(), extra_lines: head.clone() };
             let (samples, outcome) = soak.run()?;
             let findings = judge(&samples, STEADY, Bounds::default());
             report::soak(out, &samples, &findings)?;
@@ -229,7 +234,7 @@
         }
         Task::Grow(options) => print_growth(&grow::run(options, &program()?, out, seed)?, out),
         Task::FollowerHost { config } => {
-            hollow::serve(&serde_json::from_slice(&std::fs::read(config)?)?)?;
+            headless::serve(&serde_json::from_slice(&std::fs::read(config)?)?)?;
             Ok(true)
         }
     }
@@ -238,17 +243,17 @@
 /// Prints the results of runs with several fleet sizes. Returns whether all rules and bounds were kept.
 fn print_growth(readings: &[grow::Reading], out: &std::path::Path) -> Result<bool, Box<dyn Error>> {
     for reading in readings {
-        let grow::Reading { workers, asked, served, cpu_s, .. } = reading;
-        let ready_ms = reading.ready_after.as_millis();
-        println!("{workers} workers: ready after {ready_ms} ms, {asked} asked, served {served:.3}, CPU {cpu_s:.2} s");
-        if reading.left_workers_out {
+        let grow::Reading { workers, requests, served, cpu_s, .. } = reading;
+        let ready_ms = reading.startup_time.as_millis();
+        println!("{workers} workers: ready after {ready_ms} ms, {requests} asked, served {served:.3}, CPU {cpu_s:.2} s");
+        if reading.has_unlisted_workers {
             println!("{workers} workers: there was no room for all of them");
         }
-        for (rule, count) in reading.breaks_by_rule() {
+        for (rule, count) in reading.violations_by_rule() {
             println!("{workers} workers: {rule:?} broken {count} times");
         }
         reading
-            .breaks
+            .violations
             .iter()
             .take(MAX_PRINTED_VIOLATIONS)
             .for_each(|violation| println!("{workers} workers: {violation}"));
@@ -261,7 +266,7 @@
     }
     grow::write(out, &rows)?;
     Ok(rows.iter().all(|row| row.is_kept)
-        && readings.iter().all(|reading| reading.breaks.is_empty() && !reading.left_workers_out))
+        && readings.iter().all(|reading| reading.violations.is_empty() && !reading.has_unlisted_workers))
 }
 
 /// Prints the result of a soak under faults. Returns whether all rules were kept.
@@ -269,29 +274,30 @@
     let [check, post, once] = outcome.served;
     println!(
         "seed {seed}: asked {} arrived {} served check {check:.2} post {post:.2} once {once:.2} resident {:.1} MB descriptors {} breaks {}",
-        outcome.asked,
+        outcome.requests,
         outcome.arrivals,
         outcome.peaks.0 as f64 / 1e6,
         outcome.peaks.1,
-        outcome.breaks.len()
+        outcome.violations.len()
     );
-    outcome.breaks.iter().for_each(|violation| println!("seed {seed}: {violation}"));
-    outcome.breaks.is_empty() && outcome.within_limits
+    outcome.violations.iter().for_each(|violation| println!("seed {seed}: {violation}"));
+    outcome.violations.is_empty() && outcome.within_limits
 }
 
 fn small_deployment(fleet: &Fleet) -> Deployment {
-    Deployment { head: String::new(), protocol: "http", workers: fleet.addresses(), functions: 4 }
+    Deployment { extra_lines: String::new(), protocol: "http", workers: fleet.addresses(), functions: 4 }
 }
 
 fn demo(daemon: &Daemon) -> Result<bool, Box<dyn Error>> {
     let mut client = Client::new(daemon.address, Duration::from_secs(5));
-    let held = client.ask("POST", "/v1/functions/check-1/invocations", &[], b"a household")?;
+    let held = client.send_request("POST", "/v1/functions/check-1/invocations", &[], b"a household")?;
     println!("held: {} {:?}", held.status, String::from_utf8_lossy(&held.body));
     let headers = [("Idempotency-Key", "loan-1"), ("Prefer", "respond-async")];
-    let accepted = client.ask("POST", "/v1/functions/post-1/invocations", &headers, b"a meter loan")?;
+    let accepted =
+        client.send_request("POST", "/v1/functions/post-1/invocations", &headers, b"a meter loan")?;
     let location = accepted.head.headers.get("location").unwrap_or_default().to_string();
     println!("deferred: {} {location}", accepted.status);
-    let collected = client.ask("GET", &location, &[("Prefer", "wait=5")], b"")?;
+    let collected = client.send_request("GET", &location, &[("Prefer", "wait=5")], b"")?;
     println!("collected: {} {:?}", collected.status, String::from_utf8_lossy(&collected.body));
     Ok(held.status == 200 && collected.status == 200)
 }
--- a/crates/rig/src/scale/connections.rs
+++ b/crates/rig/src/scale/connections.rs
@@ -5,7 +5,7 @@
 use super::usage::open_sockets;
 use super::{Measurement, ScaleContext, ScaleError};
 use crate::fault_schedule::FaultSchedule;
-use crate::fleet::{Fleet, Kind};
+use crate::fleet::{Fleet, WorkerProfile};
 use clap::Args;
 use serde_json::Value;
 use std::fmt::Write;
@@ -124,15 +124,15 @@
         options: &Options,
         folder: &Path,
     ) -> Result<Reading, ScaleError> {
-        let kind = Kind {
-            load: EMULATED_WORK_TIME,
-            work: EMULATED_WORK_TIME,
+        let profile = WorkerProfile {
+            load_time: EMULATED_WORK_TIME,
+            call_time: EMULATED_WORK_TIME,
             cold: EMULATED_WORK_TIME,
             loads: self.protocol == "http",
-            ..Kind::default()
+            ..WorkerProfile::default()
         };
         let schedule = FaultSchedule { seed: context.seed, fault_rate: 0.0 };
-        let fleet = Fleet::start(self.workers, kind, schedule)?;
+        let fleet = Fleet::start(self.workers, profile, schedule)?;
         let functions = options.functions * self.workers;
         let deploy = self.deploy(&fleet, functions);
         let mut daemons = Vec::new();
@@ -214,7 +214,7 @@
     for _ in 0..ROUNDS {
         for number in 0..functions {
             let path = format!("/v1/functions/{}/invocations", function_name(number));
-            let response = client.ask("POST", &path, &[], b"a household")?;
+            let response = client.send_request("POST", &path, &[], b"a household")?;
             served += f64::from(u8::from(response.status == 200));
         }
     }
--- a/crates/rig/src/scale/decisions.rs
+++ b/crates/rig/src/scale/decisions.rs
@@ -138,7 +138,8 @@
 
 /// Settings of a daemon that uses the frames protocol and shares the fleet with other invokers.
 fn settings(options: &Options) -> Result<Settings, ScaleError> {
-    let deployment = Deployment { head: String::new(), protocol: "frames", workers: vec![], functions: 0 };
+    let deployment =
+        Deployment { extra_lines: String::new(), protocol: "frames", workers: vec![], functions: 0 };
     let deploy: Deploy =
         read(&deployment.text()).map_err(|error| ScaleError::Failed(format!("deploy file: {error}")))?;
     let mut settings = Settings::from_json(&deploy.settings());
--- a/crates/rig/src/scale/deferred.rs
+++ b/crates/rig/src/scale/deferred.rs
@@ -7,7 +7,7 @@
 use super::relay::Relay;
 use super::{Measurement, ScaleContext, ScaleError};
 use crate::fault_schedule::FaultSchedule;
-use crate::fleet::{Fleet, Kind};
+use crate::fleet::{Fleet, WorkerProfile};
 use crate::load::{self, Outcome};
 use crate::plan::Arrival;
 use clap::Args;
@@ -143,15 +143,15 @@
         options: &Options,
         folder: &Path,
     ) -> Result<Reading, ScaleError> {
-        let kind = Kind {
-            load: EMULATED_WORK_TIME,
-            work: EMULATED_WORK_TIME,
+        let profile = WorkerProfile {
+            load_time: EMULATED_WORK_TIME,
+            call_time: EMULATED_WORK_TIME,
             cold: EMULATED_WORK_TIME,
             slots: 1024,
-            ..Kind::default()
+            ..WorkerProfile::default()
         };
         let schedule = FaultSchedule { seed: context.seed, fault_rate: 0.0 };
-        let fleet = Fleet::start(WORKERS, kind, schedule)?;
+        let fleet = Fleet::start(WORKERS, profile, schedule)?;
         let ports = free_ports(self.nodes)?;
         let relays: Vec<Relay> =
             ports[1..].iter().map(|port| Relay::start(*port)).collect::<Result<_, _>>()?;
@@ -288,8 +288,8 @@
 
 /// Number of answers with the wanted status, and of all others.
 fn counts(outcome: &Outcome, wanted: u16) -> (f64, f64) {
-    let all: u64 = outcome.values().map(load::Group::count).sum();
-    let of_status = |group: &load::Group| group.statuses.get(&wanted).copied().unwrap_or(0);
+    let all: u64 = outcome.values().map(load::CallResults::count).sum();
+    let of_status = |results: &load::CallResults| results.statuses.get(&wanted).copied().unwrap_or(0);
     let accepted: u64 = outcome.values().map(of_status).sum();
     (accepted as f64, (all - accepted) as f64)
 }
--- a/crates/rig/src/scale/feed.rs
+++ b/crates/rig/src/scale/feed.rs
@@ -13,7 +13,7 @@
 //! follower.
 pub mod cluster;
 pub mod failures;
-pub mod hollow;
+pub mod headless;
 pub mod host;
 pub mod protocol;
 
--- a/crates/rig/src/scale/feed/cluster.rs
+++ b/crates/rig/src/scale/feed/cluster.rs
@@ -412,7 +412,7 @@
     let mut client = control.client();
     let body = function_body_with_memory(memory_mb);
     for function in functions {
-        let response = client.ask("PUT", &format!("/v1/functions/{function}"), &[], &body)?;
+        let response = client.send_request("PUT", &format!("/v1/functions/{function}"), &[], &body)?;
         if response.status >= 300 {
             let text = String::from_utf8_lossy(&response.body).into_owned();
             return Err(ScaleError::Failed(format!("PUT {function}: {} {text}", response.status)));
--- a/crates/rig/src/scale/in_force.rs
+++ b/crates/rig/src/scale/in_force.rs
@@ -52,7 +52,7 @@
 /// Whether a daemon accepts calls to a function, that is, knows it.
 pub fn takes_calls(client: &mut Client, function: &str) -> Result<bool, ScaleError> {
     let path = format!("/v1/functions/{function}/invocations");
-    let response = client.ask("POST", &path, &[DEADLINE], b"{}")?;
+    let response = client.send_request("POST", &path, &[DEADLINE], b"{}")?;
     Ok(response.status != UNKNOWN_FUNCTION)
 }
 
--- a/crates/rig/src/scale/process.rs
+++ b/crates/rig/src/scale/process.rs
@@ -167,7 +167,7 @@
 
     /// Sends one request over a new connection; fails if the status is 300 or above.
     pub fn request(&self, method: &str, path: &str, body: &[u8]) -> Result<Response, ScaleError> {
-        let response = self.client().ask(method, path, &[], body)?;
+        let response = self.client().send_request(method, path, &[], body)?;
         if response.status >= 300 {
             let text = String::from_utf8_lossy(&response.body).into_owned();
             return Err(ScaleError::Failed(format!("{method} {path}: {} {text}", response.status)));
--- a/crates/rig/src/soak.rs
+++ b/crates/rig/src/soak.rs
@@ -3,7 +3,7 @@
 use crate::client::{request, Client};
 use crate::daemon::{Daemon, Deployment};
 use crate::fault_schedule::FaultSchedule;
-use crate::fleet::{Fleet, Kind};
+use crate::fleet::{Fleet, WorkerProfile};
 use crate::load::{self, Outcome};
 use crate::plan::{tenant, Arrival, OfferedLoad, Plan};
 use crate::verdict::Sample;
@@ -39,19 +39,22 @@
     /// Folder for the daemon's files.
     pub folder: PathBuf,
     /// Lines added to the top of the daemon's deploy file.
-    pub head: String,
+    pub extra_lines: String,
 }
 
 impl Soak {
     /// Runs the soak. Returns the samples and the outcome of the calls to configured functions.
     pub fn run(&self) -> io::Result<(Vec<Sample>, Outcome)> {
-        let fleet =
-            Fleet::start(WORKERS, Kind::default(), FaultSchedule { seed: self.seed, fault_rate: 0.05 })?;
+        let fleet = Fleet::start(
+            WORKERS,
+            WorkerProfile::default(),
+            FaultSchedule { seed: self.seed, fault_rate: 0.05 },
+        )?;
         let offer = OfferedLoad { rate: 100.0, ..OfferedLoad::default() };
         // The retention is shortened in step with the compressed hour.
         let retention = (self.span.as_secs_f64() / 10.0).max(1.0);
         let deployment = Deployment {
-            head: format!("data_dir = \"data\"\nretention_s = {retention}\n{}", self.head),
+            extra_lines: format!("data_dir = \"data\"\nretention_s = {retention}\n{}", self.extra_lines),
             protocol: "http",
             workers: fleet.addresses(),
             functions: offer.functions,
@@ -101,10 +104,10 @@
         let name = format!("churn-{number}");
         let (path, put) = (format!("/v1/functions/{name}"), function_json(number, "check"));
         // Refusals are expected; the soak checks only the daemon's memory accounts.
-        let _ = client.ask("PUT", &path, &[], &put);
+        let _ = client.send_request("PUT", &path, &[], &put);
         let _ = load::call(&mut client, &held_call(&name, None));
         if number >= 20 {
-            let _ = client.ask("DELETE", &format!("/v1/functions/churn-{}", number - 20), &[], b"");
+            let _ = client.send_request("DELETE", &format!("/v1/functions/churn-{}", number - 20), &[], b"");
         }
         if number % 10 == 0 {
             let (host, generation) = (number / 10 % workers.len(), number / 10 / workers.len());
@@ -112,8 +115,8 @@
             let worker = format!("{{\"address\":\"{}\",\"cell\":{}}}", workers[host], host % 3);
             let after = format!("/v1/workers/w{host}-{}", generation + 1);
             fleet.restart(host);
-            let _ = client.ask("PUT", &after, &[], worker.as_bytes());
-            let _ = client.ask("DELETE", &format!("/v1/workers/{old_name}"), &[], b"");
+            let _ = client.send_request("PUT", &after, &[], worker.as_bytes());
+            let _ = client.send_request("DELETE", &format!("/v1/workers/{old_name}"), &[], b"");
         }
         if let Ok(mut connection) = TcpStream::connect_timeout(&address, CLIENT_TIMEOUT) {
             let _ = connection.write_all(&request("GET", "/v1/invocations/0000000000000000", &[], b""));
@@ -146,8 +149,12 @@
             let mut client = Client::new(address, CLIENT_TIMEOUT);
             for number in (0usize..).take_while(|_| is_running()) {
                 let name = format!("new-{number}");
-                let _ =
-                    client.ask("PUT", &format!("/v1/functions/{name}"), &[], &function_json(number, "check"));
+                let _ = client.send_request(
+                    "PUT",
+                    &format!("/v1/functions/{name}"),
+                    &[],
+                    &function_json(number, "check"),
+                );
                 let _ = load::call(&mut client, &held_call(&name, None));
             }
         });
@@ -202,14 +209,23 @@
 
 /// Sends one `PUT` of a new function and one call of it for each of `count` names, and calls a configured function
 /// meanwhile.
-pub fn flood_names(program: &Path, folder: &Path, count: usize, head: &str) -> io::Result<FloodResult> {
+pub fn flood_names(
+    program: &Path,
+    folder: &Path,
+    count: usize,
+    extra_lines: &str,
+) -> io::Result<FloodResult> {
     let fleet = Fleet::start(
         WORKERS,
-        Kind { work: MINIMAL_DELAY, load: MINIMAL_DELAY, ..Kind::default() },
+        WorkerProfile { call_time: MINIMAL_DELAY, load_time: MINIMAL_DELAY, ..WorkerProfile::default() },
         FaultSchedule { seed: 1, fault_rate: 0.0 },
     )?;
-    let deployment =
-        Deployment { head: head.into(), protocol: "http", workers: fleet.addresses(), functions: 4 };
+    let deployment = Deployment {
+        extra_lines: extra_lines.into(),
+        protocol: "http",
+        workers: fleet.addresses(),
+        functions: 4,
+    };
     let daemon = Daemon::start(program, folder, &deployment)?;
     let address = daemon.address;
     let mut result = FloodResult {
@@ -232,7 +248,7 @@
                         for number in numbers(client_number) {
                             let name = format!("f-{number}");
                             let path = format!("/v1/functions/{name}");
-                            let put = client.ask("PUT", &path, &[], &function_json(number, "check"));
+                            let put = client.send_request("PUT", &path, &[], &function_json(number, "check"));
                             let call = load::call(&mut client, &held_call(&name, None));
                             for (method, end) in [("PUT", put), ("call", call)] {
                                 *answers
--- a/crates/rig/tests/faults.rs
+++ b/crates/rig/tests/faults.rs
@@ -1,5 +1,7 @@
 //! Tests the verdict of the fault soak with a violation of each rule, and runs short soaks of the daemon itself.
-use corkbay_rig::faults::records::{Arrival, Asked, At, Drained, End, Records, Span};
+use corkbay_rig::faults::records::{
+    Arrival, ClientRequest, DrainNotice, Millis, Records, RequestOutcome, Span,
+};
 use corkbay_rig::faults::verdict::{judge, Rule};
 use corkbay_rig::faults::{run, Scenario, SoakPaths};
 use std::path::{Path, PathBuf};
@@ -11,18 +13,27 @@
 const ONCE: usize = 2;
 
 /// A request sent at 1 s with a timeout of 1 s, served after 0.1 s.
-fn asked(class: usize) -> Asked {
-    let ends = vec![(End::Served, 1100.0)];
-    Asked { id: 7, class, daemon: 0, at: 1000.0, allowed: 1000.0, gone_at: None, ends, broken_at: None }
+fn request(class: usize) -> ClientRequest {
+    let ends = vec![(RequestOutcome::Served, 1100.0)];
+    ClientRequest {
+        id: 7,
+        class,
+        daemon: 0,
+        at: 1000.0,
+        allowed: 1000.0,
+        abandoned_at: None,
+        ends,
+        disconnected_at: None,
+    }
 }
 
 /// The attempt of that request at worker 1 in cell 1, which ran.
-fn arrival(at: At) -> Arrival {
-    Arrival { id: 7, worker: 1, rack: 1, at, left: 2000.0 - at, ran: true }
+fn arrival(at: Millis) -> Arrival {
+    Arrival { id: 7, worker: 1, cell: 1, at, remaining_ms: 2000.0 - at, was_run: true }
 }
 
-fn records(asked: Asked, arrivals: Vec<Arrival>) -> Records {
-    Records { asked: vec![asked], arrivals, window: 300.0, ended: 60_000.0, ..Records::default() }
+fn records(request: ClientRequest, arrivals: Vec<Arrival>) -> Records {
+    Records { requests: vec![request], arrivals, window: 300.0, ended: 60_000.0, ..Records::default() }
 }
 
 fn rules(records: &Records) -> Vec<Rule> {
@@ -32,30 +43,37 @@
 #[test]
 fn allowed_behaviour_is_not_a_violation() {
     for class in [CHECK, POST, ONCE] {
-        assert_eq!(rules(&records(asked(class), vec![arrival(1010.0)])), []);
+        assert_eq!(rules(&records(request(class), vec![arrival(1010.0)])), []);
     }
     let repeat_in_window = vec![arrival(1010.0), Arrival { worker: 3, ..arrival(1300.0) }];
-    assert_eq!(rules(&records(asked(POST), repeat_in_window)), [], "in the same cell and within the window");
-    let first_not_run = vec![Arrival { ran: false, ..arrival(1010.0) }, arrival(1050.0)];
-    assert_eq!(rules(&records(asked(ONCE), first_not_run)), [], "the first attempt did not run");
-    let repeat = vec![arrival(1010.0), Arrival { rack: 0, ..arrival(1900.0) }];
-    assert_eq!(rules(&records(asked(CHECK), repeat)), [], "its class allows repeats");
+    assert_eq!(
+        rules(&records(request(POST), repeat_in_window)),
+        [],
+        "in the same cell and within the window"
+    );
+    let first_not_run = vec![Arrival { was_run: false, ..arrival(1010.0) }, arrival(1050.0)];
+    assert_eq!(rules(&records(request(ONCE), first_not_run)), [], "the first attempt did not run");
+    let repeat = vec![arrival(1010.0), Arrival { cell: 0, ..arrival(1900.0) }];
+    assert_eq!(rules(&records(request(CHECK), repeat)), [], "its class allows repeats");
 }
 
 #[test]
 fn a_missing_late_or_second_answer_is_a_violation() {
-    let unanswered = Asked { ends: Vec::new(), ..asked(CHECK) };
-    let late = Asked { ends: vec![(End::Failed, 2600.0)], ..asked(CHECK) };
-    let twice = Asked { ends: vec![(End::Served, 1100.0), (End::Served, 1101.0)], ..asked(CHECK) };
-    let closed = Asked { broken_at: Some(1200.0), ..unanswered.clone() };
+    let unanswered = ClientRequest { ends: Vec::new(), ..request(CHECK) };
+    let late = ClientRequest { ends: vec![(RequestOutcome::Failed, 2600.0)], ..request(CHECK) };
+    let twice = ClientRequest {
+        ends: vec![(RequestOutcome::Served, 1100.0), (RequestOutcome::Served, 1101.0)],
+        ..request(CHECK)
+    };
+    let closed = ClientRequest { disconnected_at: Some(1200.0), ..unanswered.clone() };
     for planted in [unanswered.clone(), late.clone(), twice, closed.clone()] {
         assert_eq!(rules(&records(planted.clone(), Vec::new())), [Rule::Lost], "{planted:?}");
     }
-    let gone = Asked { gone_at: Some(1050.0), ..unanswered };
+    let gone = ClientRequest { abandoned_at: Some(1050.0), ..unanswered };
     assert_eq!(rules(&records(gone, Vec::new())), [], "the client cancelled, so no answer is needed");
     let killed = Records { killed: vec![(0, 1190.0)], ..records(closed.clone(), Vec::new()) };
     assert_eq!(rules(&killed), [], "its daemon was killed");
-    let raced = Asked { broken_at: Some(1030.0), ..closed };
+    let raced = ClientRequest { disconnected_at: Some(1030.0), ..closed };
     assert_eq!(rules(&records(raced.clone(), Vec::new())), [], "it was sent just as its connection ended");
     assert_eq!(
         rules(&records(raced, vec![arrival(1010.0)])),
@@ -69,25 +87,25 @@
 #[test]
 fn a_repeat_that_its_class_forbids_is_a_violation() {
     let repeated_at = |at| vec![arrival(1010.0), arrival(at)];
-    assert_eq!(rules(&records(asked(ONCE), repeated_at(1020.0))), [Rule::Duplicate]);
-    assert_eq!(rules(&records(asked(POST), repeated_at(1400.0))), [Rule::Duplicate], "after the window");
-    let other_cell = vec![arrival(1010.0), Arrival { rack: 0, ..arrival(1020.0) }];
-    assert_eq!(rules(&records(asked(POST), other_cell)), [Rule::Duplicate], "in another cell");
-    let refused = Asked { ends: vec![(End::Refused, 1500.0)], ..asked(POST) };
+    assert_eq!(rules(&records(request(ONCE), repeated_at(1020.0))), [Rule::Duplicate]);
+    assert_eq!(rules(&records(request(POST), repeated_at(1400.0))), [Rule::Duplicate], "after the window");
+    let other_cell = vec![arrival(1010.0), Arrival { cell: 0, ..arrival(1020.0) }];
+    assert_eq!(rules(&records(request(POST), other_cell)), [Rule::Duplicate], "in another cell");
+    let refused = ClientRequest { ends: vec![(RequestOutcome::Refused, 1500.0)], ..request(POST) };
     assert_eq!(rules(&records(refused, vec![arrival(1010.0)])), [Rule::Duplicate], "refused although it ran");
 }
 
 #[test]
 fn attempts_after_a_cancel_with_too_much_time_or_to_a_draining_worker_are_violations() {
-    let gone = Asked { gone_at: Some(1050.0), ends: Vec::new(), ..asked(CHECK) };
+    let gone = ClientRequest { abandoned_at: Some(1050.0), ends: Vec::new(), ..request(CHECK) };
     assert_eq!(rules(&records(gone.clone(), vec![arrival(1200.0)])), [Rule::ClientGone]);
     assert_eq!(rules(&records(gone, vec![arrival(1100.0)])), []);
-    let sent_too_long = Arrival { left: 1300.0, ..arrival(1010.0) };
-    assert_eq!(rules(&records(asked(CHECK), vec![sent_too_long])), [Rule::Deadline]);
-    let drained = |told_at| vec![Drained { worker: 1, daemon: 0, told_at }];
-    let late = Records { drained: drained(-1200.0), ..records(asked(CHECK), vec![arrival(1010.0)]) };
+    let sent_too_long = Arrival { remaining_ms: 1300.0, ..arrival(1010.0) };
+    assert_eq!(rules(&records(request(CHECK), vec![sent_too_long])), [Rule::Deadline]);
+    let drained = |notified_at| vec![DrainNotice { worker: 1, daemon: 0, notified_at }];
+    let late = Records { drained: drained(-1200.0), ..records(request(CHECK), vec![arrival(1010.0)]) };
     assert_eq!(rules(&late), [Rule::Drain]);
-    let in_grace = Records { drained: drained(-900.0), ..records(asked(CHECK), vec![arrival(1010.0)]) };
+    let in_grace = Records { drained: drained(-900.0), ..records(request(CHECK), vec![arrival(1010.0)]) };
     assert_eq!(rules(&in_grace), []);
 }
 
@@ -123,11 +141,11 @@
         let places =
             SoakPaths { program: program.clone(), shim: shim.clone(), folder: folder.join(seed.to_string()) };
         let outcome = run(Scenario::draw(seed, SPAN), seed, &places).expect("the soak runs");
-        let breaks: Vec<String> = outcome.breaks.iter().map(ToString::to_string).collect();
-        assert!(breaks.is_empty(), "seed {seed}, files in {}: {breaks:#?}", folder.display());
+        let violations: Vec<String> = outcome.violations.iter().map(ToString::to_string).collect();
+        assert!(violations.is_empty(), "seed {seed}, files in {}: {violations:#?}", folder.display());
         assert!(outcome.within_limits, "seed {seed}: {:?}", outcome.peaks);
         assert!(
-            outcome.asked > 300 && outcome.served.iter().all(|part| *part > 0.33),
+            outcome.requests > 300 && outcome.served.iter().all(|part| *part > 0.33),
             "seed {seed}: {outcome:?}"
         );
     }
--- a/crates/rig/tests/grow.rs
+++ b/crates/rig/tests/grow.rs
@@ -36,10 +36,14 @@
         folder: folder.clone(),
     };
     let reading = run.execute().expect("the run is executed");
-    let breaks: Vec<String> = reading.breaks.iter().take(5).map(ToString::to_string).collect();
-    let count = reading.breaks.len();
-    assert!(breaks.is_empty(), "{workers} workers, files in {}, {count}: {breaks:#?}", folder.display());
-    assert!(!reading.left_workers_out, "there is no room for {workers} workers");
+    let violations: Vec<String> = reading.violations.iter().take(5).map(ToString::to_string).collect();
+    let count = reading.violations.len();
+    assert!(
+        violations.is_empty(),
+        "{workers} workers, files in {}, {count}: {violations:#?}",
+        folder.display()
+    );
+    assert!(!reading.has_unlisted_workers, "there is no room for {workers} workers");
     let _ = std::fs::remove_dir_all(&folder);
     reading
 }
--- a/crates/rig/tests/soak.rs
+++ b/crates/rig/tests/soak.rs
@@ -1,6 +1,6 @@
 //! Tests the soak's verdict with a deliberate leak, and runs a short soak of the daemon itself.
 use corkbay_ledger::{Account, Reservation};
-use corkbay_rig::load::Group;
+use corkbay_rig::load::CallResults;
 use corkbay_rig::soak::{Soak, STEADY};
 use corkbay_rig::verdict::{judge, Bounds, Finding, Holding, Sample};
 use std::collections::{BTreeMap, VecDeque};
@@ -56,7 +56,7 @@
     let folder = std::env::temp_dir().join(format!("corkbay-soak-{}", std::process::id()));
     let (span, seed) = (Duration::from_secs(60), 11);
     println!("seed {seed}");
-    let soak = Soak { span, seed, program, folder: folder.clone(), head: "memory_mb = 64".into() };
+    let soak = Soak { span, seed, program, folder: folder.clone(), extra_lines: "memory_mb = 64".into() };
     let (samples, outcome) = soak.run().expect("the soak runs");
     let bounds = Bounds { touched: 16.0 * 1024.0 * 1024.0, account: 0.15, ..Bounds::default() };
     let findings = judge(&samples, STEADY, bounds);
@@ -65,8 +65,11 @@
     let not_flat: Vec<&Finding> = findings.iter().filter(has_grown).collect();
     assert!(not_flat.is_empty(), "{not_flat:?}");
     let served: u64 = outcome.values().filter_map(|group| group.statuses.get(&200)).sum();
-    let asked: u64 = outcome.values().map(Group::count).sum();
-    assert!(served * 2 > asked, "{served} of {asked}: calls to configured functions are served throughout");
+    let requests: u64 = outcome.values().map(CallResults::count).sum();
+    assert!(
+        served * 2 > requests,
+        "{served} of {requests}: calls to configured functions are served throughout"
+    );
     let has_near_full_account =
         samples.last().expect("samples").accounts.values().any(|account| account.peak >= 0.9 * account.cap);
     assert!(has_near_full_account, "some account came close to its cap");
