--- a/crates/wirehost/src/main.rs
+++ b/crates/wirehost/src/main.rs
@@ -1,4 +1,5 @@
-//! Hosts corkbay dispatchers on the simulator's wire: parse, translate, frame, nothing more.
+//! Runs corkbay dispatchers under a simulator: reads its line protocol on standard input and writes the replies to
+//! standard output. All decisions are those of the dispatchers.
 #![forbid(unsafe_code)]
 
 mod wire;
@@ -8,38 +9,38 @@
 
 fn main() -> ExitCode {
     let mut host = wire::Host::default();
-    let mut out = BufWriter::new(io::stdout().lock());
+    let mut output = BufWriter::new(io::stdout().lock());
     let mut input = io::stdin().lock();
     let mut line = Vec::new();
-    for number in 1u64.. {
+    for line_number in 1u64.. {
         line.clear();
-        let ended = match input.read_until(b'\n', &mut line) {
+        let at_end = match input.read_until(b'\n', &mut line) {
             Ok(size) => size == 0,
             Err(error) => {
-                eprintln!("corkbay-drill: line {number}: {error}");
+                eprintln!("corkbay-drill: line {line_number}: {error}");
                 return ExitCode::FAILURE;
             }
         };
-        if ended {
+        if at_end {
             if host.in_batch() {
-                eprintln!("corkbay-drill: line {number}: input ends inside a batch");
+                eprintln!("corkbay-drill: line {line_number}: input ends inside a batch");
                 return ExitCode::FAILURE;
             }
             return ExitCode::SUCCESS;
         }
-        let parsed = match std::str::from_utf8(&line) {
-            Ok(text) => host.line(text.trim_end_matches(['\n', '\r'])),
+        let result = match std::str::from_utf8(&line) {
+            Ok(text) => host.handle_line(text.trim_end_matches(['\n', '\r'])),
             Err(_) => Err("not UTF-8 text".to_string()),
         };
-        match parsed {
+        match result {
             Ok(None) => {}
             Ok(Some(reply)) => {
-                if out.write_all(reply.as_bytes()).and_then(|()| out.flush()).is_err() {
+                if output.write_all(reply.as_bytes()).and_then(|()| output.flush()).is_err() {
                     return ExitCode::FAILURE;
                 }
             }
             Err(problem) => {
-                eprintln!("corkbay-drill: line {number}: {problem}");
+                eprintln!("corkbay-drill: line {line_number}: {problem}");
                 return ExitCode::FAILURE;
             }
         }
