--- a/crates/node/tests/catalog.rs
+++ b/crates/node/tests/catalog.rs
@@ -15,7 +15,7 @@
 /// Resident memory that changes of the same entries may add, MB.
 const GROWTH_MB: usize = 16;
 /// Longest wait on a loaded machine for a catalog to be taken up.
-const PATIENCE: Duration = Duration::from_secs(120);
+const TEST_TIMEOUT: Duration = Duration::from_secs(120);
 const DATA: &str = "data_dir = \"data\"\n";
 
 /// A deploy file with that many functions, the first of them with so many lanes.
@@ -70,7 +70,7 @@
 fn until(what: &str, holds: impl Fn() -> bool) {
     let start = Instant::now();
     while !holds() {
-        assert!(start.elapsed() < PATIENCE, "waited in vain until {what}");
+        assert!(start.elapsed() < TEST_TIMEOUT, "waited in vain until {what}");
         std::thread::sleep(Duration::from_millis(100));
     }
 }
@@ -124,7 +124,7 @@
     let mut child = command.spawn().expect("starts");
     let start = Instant::now();
     while log_size(folder) < least {
-        assert!(start.elapsed() < PATIENCE, "nothing is written");
+        assert!(start.elapsed() < TEST_TIMEOUT, "nothing is written");
         std::thread::sleep(Duration::from_millis(1));
     }
     child.kill().expect("killed");
@@ -140,7 +140,7 @@
     for least in [1, 500_000, 1_500_000] {
         // On a loaded machine the kill may come too late, and is tried again.
         while !is_killed_during_start(&folder, &path, least) {
-            assert!(start.elapsed() < PATIENCE, "every start was done before it was killed");
+            assert!(start.elapsed() < TEST_TIMEOUT, "every start was done before it was killed");
             std::fs::remove_dir_all(folder.0.join("data")).expect("removed");
         }
     }
--- a/crates/node/tests/clock.rs
+++ b/crates/node/tests/clock.rs
@@ -13,9 +13,9 @@
 use std::io::BufReader;
 use std::time::Duration;
 use support::faults::Faults;
-use support::leaving::{Failing, HoldingWorker};
-use support::platform::{dispatch, fields, Bench, Client, Reply};
-use support::workers::{Act, Fleet};
+use support::leaving::{FailureMode, HoldingWorker};
+use support::platform::{dispatch, fields, Client, Fixture, Reply};
+use support::workers::{Behaviour, Fleet};
 use support::{ask, receive, start, until, Daemon, Folder, CLASSES};
 
 /// Steps of the wall clock, in seconds.
@@ -25,8 +25,8 @@
 const LIMITS: (u32, u32) = (1024, 192);
 
 /// The program on the platform's protocol with a window of so many milliseconds for the keyed class.
-fn platform(faults: &Faults, script: &[Act], hosts: usize, window: f64) -> Bench {
-    Bench::started(script, hosts, LIMITS, &faults.environment(), |settings| {
+fn platform(faults: &Faults, script: &[Behaviour], hosts: usize, window: f64) -> Fixture {
+    Fixture::with_environment(script, hosts, LIMITS, &faults.environment(), |settings| {
         settings["classes"][1]["dedupWindowMs"] = json!(window);
         settings["classes"][0]["giveUpMs"] = json!(8000.0);
         settings["classes"][1]["giveUpMs"] = json!(8000.0);
@@ -34,10 +34,10 @@
 }
 
 /// A call of the keyed class that is out at a worker which answers nothing.
-fn keyed_call_out(bench: &Bench) -> (HoldingWorker, Client) {
+fn keyed_call_out(fixture: &Fixture) -> (HoldingWorker, Client) {
     let worker = HoldingWorker::new();
-    bench.channel.tell(2, "h0", worker.address, "up");
-    let mut client = bench.client();
+    fixture.channel.tell(2, "h0", worker.address, "up");
+    let mut client = fixture.client();
     client.send(&dispatch(1, &fields("post", "00000000000000a1", ALLOW), b"x"));
     until("the first attempt is out", || worker.bodies().len() == 1);
     (worker, client)
@@ -47,15 +47,15 @@
 fn a_keyed_call_is_not_repeated_behind_its_window() {
     for step in STEPS {
         let faults = Faults::new();
-        let bench = platform(&faults, &[Act::Serve], 0, 700.0);
-        let (worker, mut client) = keyed_call_out(&bench);
+        let fixture = platform(&faults, &[Behaviour::Serve], 0, 700.0);
+        let (worker, mut client) = keyed_call_out(&fixture);
         faults.step_clock(step);
         std::thread::sleep(Duration::from_millis(1200));
-        worker.fail(Failing::Breaks);
+        worker.fail(FailureMode::Disconnect);
         assert_eq!(client.receive(), Some((1, Reply::Crashed)), "step {step}: it may have run");
         assert_eq!(worker.bodies().len(), 1, "step {step}: the window is over");
         until("the log tells why", || {
-            let log = bench.daemon.errors();
+            let log = fixture.daemon.errors();
             log.lines().any(|line| line.contains("00000000000000a1") && line.contains("may_not_repeat"))
         });
     }
@@ -65,12 +65,12 @@
 fn a_keyed_call_is_repeated_within_its_window() {
     for step in STEPS {
         let faults = Faults::new();
-        let bench = platform(&faults, &[Act::Serve], 0, 4000.0);
-        let (worker, mut client) = keyed_call_out(&bench);
-        bench.channel.tell(3, "h1", bench.fleet.frames("h1"), "up");
+        let fixture = platform(&faults, &[Behaviour::Serve], 0, 4000.0);
+        let (worker, mut client) = keyed_call_out(&fixture);
+        fixture.channel.tell(3, "h1", fixture.fleet.frames("h1"), "up");
         faults.step_clock(step);
         std::thread::sleep(Duration::from_millis(200));
-        worker.fail(Failing::Breaks);
+        worker.fail(FailureMode::Disconnect);
         let reply = client.receive();
         assert!(matches!(reply, Some((1, Reply::Answer(_)))), "step {step}: {reply:?}");
     }
@@ -81,7 +81,7 @@
 fn calls_outlast_a_step_of_the_clock() {
     for step in STEPS {
         let (faults, folder) = (Faults::new(), Folder::new());
-        let fleet = Fleet::new(&[Act::Hold]);
+        let fleet = Fleet::new(&[Behaviour::Hold]);
         let worker = format!("[[worker]]\nname = \"w1\"\naddress = \"{}\"\n", fleet.http("w1"));
         let deploy =
             format!("node = \"n\"\nlisten = \"127.0.0.1:0\"\ndata_dir = \"data\"\n{CLASSES}{worker}");
@@ -137,7 +137,7 @@
 fn what_is_kept_outlasts_a_step_between_two_processes() {
     for step in STEPS {
         let (faults, folder) = (Faults::new(), Folder::new());
-        let fleet = Fleet::new(&[Act::Serve, Act::Hold]);
+        let fleet = Fleet::new(&[Behaviour::Serve, Behaviour::Hold]);
         let path = folder.write("d.toml", &lasting_deploy(fleet.http("w1")));
         let mut daemon = Daemon::serve_with(&path, &faults.environment());
         let done = accepted(&daemon, "post", "done");
--- a/crates/node/tests/cold_fleet.rs
+++ b/crates/node/tests/cold_fleet.rs
@@ -3,11 +3,11 @@
 
 use serde_json::json;
 use std::time::{Duration, Instant};
-use support::counting::{CountingWorker, Processes, Ramp};
+use support::counting::{CountingWorker, Processes, WarmupSettings};
 
 const PROCESSES: usize = 30;
 const WORKERS: usize = 12;
-const RAMP: Ramp = Ramp {
+const RAMP: WarmupSettings = WarmupSettings {
     from: 0.25,
     span: Duration::from_secs(8),
     multiple: 2.0,
--- a/crates/node/tests/crowd.rs
+++ b/crates/node/tests/crowd.rs
@@ -5,8 +5,8 @@
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
-use support::platform::{dispatch, fields, Bench, Client, Reply};
-use support::workers::{Act, Fleet};
+use support::platform::{dispatch, fields, Client, Fixture, Reply};
+use support::workers::{Behaviour, Fleet};
 use support::{receive, start, until, Daemon, Folder, CLASSES};
 
 const CHECK: &str = "/v1/functions/check/invocations";
@@ -53,28 +53,28 @@
 }
 
 /// Whether one of the program's counters has that value.
-fn counter(bench: &Bench, name: &str, value: u32) -> bool {
-    bench.daemon.signal("USR1");
-    bench.daemon.errors().contains(&format!(" {name}={value} "))
+fn counter(fixture: &Fixture, name: &str, value: u32) -> bool {
+    fixture.daemon.signal("USR1");
+    fixture.daemon.errors().contains(&format!(" {name}={value} "))
 }
 
 /// Guards newcomers that come while every connection is owed an answer: they stood in the listener's queue beyond the
 /// time in which they wait for their own.
 #[test]
 fn who_comes_while_all_connections_are_busy_is_refused_in_its_time() {
-    let bench = Bench::changed(&[Act::Serve], 0, FOUR_CLIENTS, 192, |settings| {
+    let fixture = Fixture::with_settings(&[Behaviour::Serve], 0, FOUR_CLIENTS, 192, |settings| {
         settings["classes"][0]["giveUpMs"] = json!(30_000.0);
     });
-    let worker = bench.fleet.frames("h0");
-    let mut busy: Vec<Client> = (0..4).map(|_| bench.client()).collect();
+    let worker = fixture.fleet.frames("h0");
+    let mut busy: Vec<Client> = (0..4).map(|_| fixture.client()).collect();
     for (client, id) in busy.iter_mut().zip(["a1", "a2", "a3", "a4"]) {
         // No worker takes work yet.
         client.send(&dispatch(1, &fields("check", &format!("{id:0>16}"), "30000"), b"x"));
     }
-    until("all are taken", || counter(&bench, "taken", 4));
+    until("all are taken", || counter(&fixture, "taken", 4));
     let mut newcomers: Vec<(Client, Instant)> = Vec::new();
     for number in 0..40 {
-        let mut client = bench.client();
+        let mut client = fixture.client();
         client.send(&check(1, 0x1000 + number));
         newcomers.push((client, Instant::now()));
     }
@@ -82,9 +82,9 @@
         let reply = client.receive();
         assert!(matches!(reply, Some((1, Reply::Rejected(_)))), "{number}: {reply:?}");
         assert!(asked.elapsed() < ITS_TIME, "{number}: {:?}", asked.elapsed());
-        assert!(descriptors(&bench.daemon) <= FOUR_CLIENTS as usize);
+        assert!(descriptors(&fixture.daemon) <= FOUR_CLIENTS as usize);
     }
-    bench.channel.tell(2, "h0", worker, "up");
+    fixture.channel.tell(2, "h0", worker, "up");
     for client in &mut busy {
         let reply = client.receive();
         assert!(matches!(&reply, Some((1, Reply::Answer(_)))), "{reply:?}");
@@ -93,7 +93,7 @@
 
 #[test]
 fn who_calls_over_http_while_all_connections_are_busy_is_refused_in_its_time() {
-    let (fleet, folder) = (Fleet::new(&[Act::Hold]), Folder::new());
+    let (fleet, folder) = (Fleet::new(&[Behaviour::Hold]), Folder::new());
     let daemon = http_daemon(Some(fleet.http("w1")), LEAST, &folder);
     let busy: Vec<TcpStream> =
         (0..HTTP_CLIENTS).map(|_| start(daemon.address, "POST", CHECK, &[], b"busy")).collect();
@@ -119,30 +119,30 @@
 /// is told an answer, and descriptors stay within their limit. All stand in the queue at once.
 #[test]
 fn a_crowd_that_asks_once_and_stays_is_answered_within_the_limit() {
-    let bench = Bench::within(&[Act::Serve], 1, FOUR_CLIENTS);
-    stand_still(&bench.daemon);
+    let fixture = Fixture::with_descriptor_limit(&[Behaviour::Serve], 1, FOUR_CLIENTS);
+    stand_still(&fixture.daemon);
     let mut crowd = Vec::new();
     for number in 0..200 {
-        let mut client = bench.client();
+        let mut client = fixture.client();
         let request = check(1, 0x1000 + number);
         let asks = number % 4 != 3;
         client.send(if asks { &request } else { &request[..request.len() / 2] });
         crowd.push((client, asks));
     }
-    bench.daemon.signal("CONT");
+    fixture.daemon.signal("CONT");
     for (number, (client, asks)) in crowd.iter_mut().enumerate() {
         if !*asks {
             continue;
         }
         let reply = client.receive();
         assert!(matches!(reply, Some((1, Reply::Answer(_) | Reply::Rejected(_)))), "{number}: {reply:?}");
-        assert!(descriptors(&bench.daemon) <= FOUR_CLIENTS as usize);
+        assert!(descriptors(&fixture.daemon) <= FOUR_CLIENTS as usize);
     }
 }
 
 #[test]
 fn a_crowd_that_calls_once_over_http_and_stays_is_answered_within_the_limit() {
-    let (fleet, folder) = (Fleet::new(&[Act::Serve]), Folder::new());
+    let (fleet, folder) = (Fleet::new(&[Behaviour::Serve]), Folder::new());
     let daemon = http_daemon(Some(fleet.http("w1")), LEAST, &folder);
     stand_still(&daemon);
     let mut crowd = Vec::new();
@@ -173,26 +173,26 @@
 /// request went out as soon as a worker took work.
 #[test]
 fn who_leaves_after_another_came_for_its_place_is_not_sent_on() {
-    let bench = Bench::within(&[Act::Serve], 0, ONE_CLIENT);
-    let worker = bench.fleet.frames("h0");
-    let mut client = bench.client();
+    let fixture = Fixture::with_descriptor_limit(&[Behaviour::Serve], 0, ONE_CLIENT);
+    let worker = fixture.fleet.frames("h0");
+    let mut client = fixture.client();
     // It is held, and silent.
     std::thread::sleep(Duration::from_millis(200));
-    stand_still(&bench.daemon);
-    let _newcomer = bench.client();
+    stand_still(&fixture.daemon);
+    let _newcomer = fixture.client();
     client.send(&check(1, 0xa1));
-    bench.daemon.signal("CONT");
-    until("it is taken", || counter(&bench, "taken", 1));
+    fixture.daemon.signal("CONT");
+    until("it is taken", || counter(&fixture, "taken", 1));
     drop(client);
-    until("it is withdrawn", || counter(&bench, "withdrawn", 1));
-    bench.channel.tell(2, "h0", worker, "up");
+    until("it is withdrawn", || counter(&fixture, "withdrawn", 1));
+    fixture.channel.tell(2, "h0", worker, "up");
     std::thread::sleep(LONG_ENOUGH);
-    assert!(bench.fleet.sent().is_empty());
+    assert!(fixture.fleet.sent().is_empty());
 }
 
 #[test]
 fn who_leaves_over_http_after_another_came_for_its_place_is_not_sent_on() {
-    let (fleet, folder) = (Fleet::new(&[Act::Serve]), Folder::new());
+    let (fleet, folder) = (Fleet::new(&[Behaviour::Serve]), Folder::new());
     let daemon = http_daemon(None, LEAST, &folder);
     let mut socket = TcpStream::connect(daemon.address).expect("connects");
     let _others: Vec<TcpStream> =
@@ -226,8 +226,8 @@
 /// the listener's queue grows without bound unless more than that are told at once that there is no room.
 #[test]
 fn a_crowd_beyond_what_the_connections_turn_over_is_answered_in_its_time() {
-    let bench = Bench::within(&[Act::Late], 4, LEAST);
-    let address = bench.daemon.address;
+    let fixture = Fixture::with_descriptor_limit(&[Behaviour::DelayedServe], 4, LEAST);
+    let address = fixture.daemon.address;
     let ask = |id: u64| {
         std::thread::spawn(move || {
             let asked = Instant::now();
--- a/crates/node/tests/descriptors.rs
+++ b/crates/node/tests/descriptors.rs
@@ -6,8 +6,8 @@
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
-use support::platform::{check, dispatch, fields, nodes, Bench, Channel, Client, Reply};
-use support::workers::Act;
+use support::platform::{check, dispatch, fields, nodes, Channel, Client, Fixture, Reply};
+use support::workers::Behaviour;
 use support::{free_address, until, Daemon};
 
 /// Descriptors of a program whose clients hold every place, and the places of clients among them.
@@ -52,12 +52,16 @@
 fn clients_that_hold_every_place_keep_nobody_from_discovery_and_workers() {
     for crowd in [Crowd::Silent, Crowd::Idle, Crowd::Waiting] {
         let holds = matches!(crowd, Crowd::Waiting);
-        let bench = Bench::within(&[if holds { Act::Hold } else { Act::Serve }], 3, DESCRIPTORS);
-        let (discovery, mut config) = (free_address(), bench.config.clone());
+        let fixture = Fixture::with_descriptor_limit(
+            &[if holds { Behaviour::Hold } else { Behaviour::Serve }],
+            3,
+            DESCRIPTORS,
+        );
+        let (discovery, mut config) = (free_address(), fixture.config.clone());
         config["channel"] = json!(discovery.to_string());
         config["admin"] = json!(free_address().to_string());
-        let path = bench.folder.write("deaf.json", &config.to_string());
-        let daemon = Daemon::platform_within(&path, free_address(), DESCRIPTORS);
+        let path = fixture.folder.write("deaf.json", &config.to_string());
+        let daemon = Daemon::platform_with_descriptor_limit(&path, free_address(), DESCRIPTORS);
         let mut clients = crowd.gather(daemon.address);
         if holds {
             until("all are taken", || {
@@ -74,11 +78,11 @@
             daemon.errors()
         );
         println!("{crowd:?}: heard after {:?}, {} descriptors", back.elapsed(), descriptors(&daemon));
-        let newcomer = support::workers::Fleet::new(&[Act::Serve]);
+        let newcomer = support::workers::Fleet::new(&[Behaviour::Serve]);
         let data = nodes(2, true, &[("new", newcomer.frames("new"), "up")]);
         channel.events.send(format!("id: 2\ndata: {data}\n\n")).expect("channel");
         std::thread::sleep(Duration::from_millis(300));
-        bench.fleet.release();
+        fixture.fleet.release();
         let mut asks = clients.swap_remove(0);
         if holds {
             assert!(matches!(asks.receive(), Some((1, Reply::Answer(_)))), "{crowd:?}");
@@ -106,12 +110,12 @@
     const PLACES: u64 = 32;
     // Together more than the kernel holds for a connection.
     const ANSWERS: u64 = 24;
-    let bench = Bench::within(&[Act::Long], 36, DESCRIPTORS);
-    let (discovery, mut config) = (free_address(), bench.config.clone());
+    let fixture = Fixture::with_descriptor_limit(&[Behaviour::LongAnswer], 36, DESCRIPTORS);
+    let (discovery, mut config) = (free_address(), fixture.config.clone());
     config["channel"] = json!(discovery.to_string());
     config["admin"] = json!(free_address().to_string());
-    let path = bench.folder.write("deaf.json", &config.to_string());
-    let daemon = Daemon::platform_within(&path, free_address(), DESCRIPTORS);
+    let path = fixture.folder.write("deaf.json", &config.to_string());
+    let daemon = Daemon::platform_with_descriptor_limit(&path, free_address(), DESCRIPTORS);
     let join = |_| {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
         socket.set_recv_buffer_size(4096).expect("set");
@@ -134,7 +138,7 @@
     }
     let channel = Channel::at(discovery);
     let heard = channel.calls.recv_timeout(HEARD_WITHIN);
-    println!("{most} descriptors at most, {} requests came to workers", bench.fleet.sent().len());
+    println!("{most} descriptors at most, {} requests came to workers", fixture.fleet.sent().len());
     assert_eq!(heard.as_deref(), Ok("1"), "{}", daemon.errors());
     assert!(!daemon.errors().contains("Too many open files"), "{}", daemon.errors());
 }
--- a/crates/node/tests/feed.rs
+++ b/crates/node/tests/feed.rs
@@ -10,8 +10,8 @@
     classes_only, delete_function, frame, function_memory, put_function, replication, start_node, status,
     until_ended,
 };
-use support::workers::{Act, Fleet};
-use support::{ask, free_address, until, Daemon, Folder, CLASSES, PATIENCE};
+use support::workers::{Behaviour, Fleet};
+use support::{ask, free_address, until, Daemon, Folder, CLASSES, TEST_TIMEOUT};
 
 /// A change is in force at every follower by then, also while one control node fails.
 const IN_FORCE: Duration = Duration::from_secs(6);
@@ -139,7 +139,7 @@
 
 #[test]
 fn a_worker_that_a_control_node_is_told_of_serves_the_followers_calls() {
-    let (site, fleet) = (Site::new(1, 2), Fleet::new(&[Act::Serve]));
+    let (site, fleet) = (Site::new(1, 2), Fleet::new(&[Behaviour::Serve]));
     let worker = json!({"address": fleet.http("w1").to_string()}).to_string();
     let told = ask(site.controls[0].address, "PUT", "/v1/workers/w1", &[], worker.as_bytes());
     assert_eq!(told.status, 204);
@@ -187,7 +187,7 @@
         }
         let woken = &site.controls[stopped];
         is_told = function_memory(woken, "told") == Some(2.0) && function_memory(woken, "once").is_none();
-        assert!(awake.elapsed() < PATIENCE, "the control node that woke up was never told");
+        assert!(awake.elapsed() < TEST_TIMEOUT, "the control node that woke up was never told");
     }
 }
 
--- a/crates/node/tests/frames.rs
+++ b/crates/node/tests/frames.rs
@@ -10,12 +10,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 type End = Receiver<Result<Vec<u8>, AttemptError>>;
 
 /// A worker's side, and the way to it.
-struct Bench {
+struct Fixture {
     workers: FrameWorkers,
     host: Arc<Host>,
     listener: TcpListener,
@@ -27,7 +27,7 @@
     buffer: Vec<u8>,
 }
 
-impl Bench {
+impl Fixture {
     fn new() -> Self {
         Self::with_room(1 << 20)
     }
@@ -44,7 +44,7 @@
             Limits { streams: 32, connect, idle, connections: 4, answer: 64 << 10, cancels },
             corkbay_ledger::Account::root("workers", bytes),
         );
-        Bench { workers, host, listener }
+        Fixture { workers, host, listener }
     }
 
     fn send(&self, id: u64) -> (Box<dyn Exchange>, End) {
@@ -64,7 +64,7 @@
 
     fn peer(&self) -> Peer {
         let (socket, _) = self.listener.accept().expect("a connection");
-        socket.set_read_timeout(Some(PATIENCE)).expect("set");
+        socket.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
         Peer { socket, buffer: Vec::new() }
     }
 }
@@ -97,47 +97,47 @@
 
 #[test]
 fn many_exchanges_share_a_connection_and_end_in_any_order() {
-    let bench = Bench::new();
-    let ends: Vec<_> = (1..=3).map(|id| bench.send(id)).collect();
-    let mut peer = bench.peer();
+    let fixture = Fixture::new();
+    let ends: Vec<_> = (1..=3).map(|id| fixture.send(id)).collect();
+    let mut peer = fixture.peer();
     let mut ids: Vec<u64> = (0..3).map(|_| peer.next().id).collect();
     ids.reverse();
     for id in &ids {
         peer.answer(code::OK, *id, "", &[*id as u8]);
     }
     for (number, (_, end)) in ends.iter().enumerate() {
-        assert_eq!(end.recv_timeout(PATIENCE).expect("told"), Ok(vec![number as u8 + 1]));
+        assert_eq!(end.recv_timeout(TEST_TIMEOUT).expect("told"), Ok(vec![number as u8 + 1]));
     }
 }
 
 #[test]
 fn answers_are_told_as_what_they_prove() {
-    let bench = Bench::new();
-    let ends: Vec<_> = (1..=4).map(|id| bench.send(id)).collect();
-    let mut peer = bench.peer();
+    let fixture = Fixture::new();
+    let ends: Vec<_> = (1..=4).map(|id| fixture.send(id)).collect();
+    let mut peer = fixture.peer();
     for (code, id) in [(code::MISS, 1), (code::FULL, 2), (code::ERROR, 3), (code::OVER, 4)] {
         peer.next();
         peer.answer(code, id, "", b"");
     }
     let expected = [Verdict::Miss, Verdict::Full, Verdict::Failed, Verdict::Over];
     for (verdict, (_, end)) in expected.into_iter().zip(&ends) {
-        assert_eq!(end.recv_timeout(PATIENCE).expect("told"), Err(AttemptError::Answered(verdict)));
+        assert_eq!(end.recv_timeout(TEST_TIMEOUT).expect("told"), Err(AttemptError::Answered(verdict)));
     }
 }
 
 /// Guards other connections against one that goes bad: it ends alone, and what was whole on it may have run.
 #[test]
 fn a_bad_frame_ends_its_connection_only() {
-    let (bench, other) = (Bench::new(), Bench::new());
+    let (fixture, other) = (Fixture::new(), Fixture::new());
     let unknown = Peer::bytes(99, 1, "", b"");
     let mut damaged = Peer::bytes(code::OK, 1, "", b"x");
     *damaged.last_mut().expect("bytes") ^= 1;
     for bytes in [unknown, damaged, vec![7; 20]] {
-        let (_exchange, end) = bench.send(1);
-        let mut peer = bench.peer();
+        let (_exchange, end) = fixture.send(1);
+        let mut peer = fixture.peer();
         peer.next();
         peer.socket.write_all(&bytes).expect("written");
-        let error = end.recv_timeout(PATIENCE).expect("told").expect_err("bad");
+        let error = end.recv_timeout(TEST_TIMEOUT).expect("told").expect_err("bad");
         assert_eq!(error, AttemptError::Unanswered(Cause::Broken));
         assert_eq!(error.outcome(), Outcome::Reset);
         assert!(peer.ended());
@@ -146,30 +146,30 @@
     let mut peer = other.peer();
     peer.next();
     peer.answer(code::OK, 2, "", b"y");
-    assert_eq!(end.recv_timeout(PATIENCE).expect("told"), Ok(b"y".to_vec()));
+    assert_eq!(end.recv_timeout(TEST_TIMEOUT).expect("told"), Ok(b"y".to_vec()));
 }
 
 /// Guards a later attempt of a request against the late answer to an earlier one: after a call was given
 /// up, its id goes out again on another connection.
 #[test]
 fn a_late_answer_to_a_call_given_up_reaches_nobody() {
-    let bench = Bench::new();
-    let (mut exchange, end) = bench.send(1);
-    let mut first = bench.peer();
+    let fixture = Fixture::new();
+    let (mut exchange, end) = fixture.send(1);
+    let mut first = fixture.peer();
     first.next();
     // The write is noted as whole right after its last byte; what is given up has been whole by then.
-    let (_probe, _) = bench.send(2);
+    let (_probe, _) = fixture.send(2);
     first.next();
     assert_eq!(exchange.give_up(Cause::GivenUp), Some(AttemptError::Unanswered(Cause::GivenUp)));
     assert_eq!(exchange.give_up(Cause::GivenUp), None, "an attempt ends once");
     let gone = first.next();
     assert_eq!((gone.code, gone.id), (code::GIVE_UP, 1));
-    let (_again, second_end) = bench.send(1);
-    let mut second = bench.peer();
+    let (_again, second_end) = fixture.send(1);
+    let mut second = fixture.peer();
     assert_eq!(second.next().id, 1);
     first.answer(code::MISS, 1, "", b"");
     second.answer(code::OK, 1, "", b"z");
-    assert_eq!(second_end.recv_timeout(PATIENCE).expect("told"), Ok(b"z".to_vec()));
+    assert_eq!(second_end.recv_timeout(TEST_TIMEOUT).expect("told"), Ok(b"z".to_vec()));
     assert!(end.try_recv().is_err(), "nothing more is told of the first");
 }
 
@@ -177,35 +177,35 @@
 /// answer reaches nobody all the same.
 #[test]
 fn where_nothing_may_be_called_off_nothing_is() {
-    let bench = Bench::where_calls_off(1 << 20, false);
-    let (mut exchange, end) = bench.send(1);
-    let mut peer = bench.peer();
+    let fixture = Fixture::where_calls_off(1 << 20, false);
+    let (mut exchange, end) = fixture.send(1);
+    let mut peer = fixture.peer();
     assert_eq!(peer.next().id, 1);
-    let (_second, second_end) = bench.send(2);
+    let (_second, second_end) = fixture.send(2);
     assert_eq!(peer.next().id, 2);
     assert_eq!(exchange.give_up(Cause::GivenUp), Some(AttemptError::Unanswered(Cause::GivenUp)));
     assert!(exchange.cancel_notice().is_sent(), "there is none");
-    let (_third, _) = bench.send(3);
+    let (_third, _) = fixture.send(3);
     assert_eq!(peer.next().id, 3, "a notice would have come before it");
     peer.answer(code::OK, 1, "", b"x");
     peer.answer(code::OK, 2, "", b"y");
-    assert_eq!(second_end.recv_timeout(PATIENCE).expect("told"), Ok(b"y".to_vec()));
+    assert_eq!(second_end.recv_timeout(TEST_TIMEOUT).expect("told"), Ok(b"y".to_vec()));
     assert!(end.try_recv().is_err(), "nothing more is told of the first");
 }
 
 /// Guards the rule on drains at its last point: nothing is written to a worker that is barred.
 #[test]
 fn a_barred_worker_is_written_no_work() {
-    let bench = Bench::new();
-    bench.host.bar(true);
-    let (_exchange, end) = bench.send(1);
-    let error = end.recv_timeout(PATIENCE).expect("told").expect_err("barred");
+    let fixture = Fixture::new();
+    fixture.host.bar(true);
+    let (_exchange, end) = fixture.send(1);
+    let error = end.recv_timeout(TEST_TIMEOUT).expect("told").expect_err("barred");
     assert_eq!(error, AttemptError::Unfinished(Cause::Barred));
     assert!(error.outcome().proves_not_run());
-    let (order, _) = bench.workers.load(&bench.host, ModelId(5), 1, f64::INFINITY, PATIENCE);
+    let (order, _) = fixture.workers.load(&fixture.host, ModelId(5), 1, f64::INFINITY, TEST_TIMEOUT);
     assert_eq!(order, Err(AttemptError::Unfinished(Cause::Barred)));
-    bench.listener.set_nonblocking(true).expect("set");
-    assert!(bench.listener.accept().is_err(), "nobody called");
+    fixture.listener.set_nonblocking(true).expect("set");
+    assert!(fixture.listener.accept().is_err(), "nobody called");
 }
 
 /// Guards the ration against orders that wait too long on their way: one counts when it arrives, and leaves its
@@ -214,14 +214,14 @@
 /// long frame used to end the call as one that never ran, which may be sent on to another worker whatever its class.
 #[test]
 fn what_is_held_back_ends_no_call_of_the_same_number() {
-    let bench = Bench::new();
-    let (_exchange, end) = bench.send(5);
-    let mut peer = bench.peer();
+    let fixture = Fixture::new();
+    let (_exchange, end) = fixture.send(5);
+    let mut peer = fixture.peer();
     assert_eq!(peer.next().id, 5);
     // More than buffers hold: the writer is stuck in it.
-    let (mut long, _) = bench.send_body(6, vec![7; 32 << 20]);
-    bench.workers.evict(&bench.host, ModelId(5));
-    bench.host.suspend(true);
+    let (mut long, _) = fixture.send_body(6, vec![7; 32 << 20]);
+    fixture.workers.evict(&fixture.host, ModelId(5));
+    fixture.host.suspend(true);
     let mut head = [0; 16];
     peer.socket.read_exact(&mut head).expect("the long frame");
     assert!(long.give_up(Cause::GivenUp).is_some());
@@ -230,36 +230,37 @@
     // Written whatever is held back, and behind it.
     assert_eq!(peer.next().code, code::GIVE_UP);
     peer.answer(code::OK, 5, "", b"y");
-    assert_eq!(end.recv_timeout(PATIENCE).expect("told"), Ok(b"y".to_vec()));
+    assert_eq!(end.recv_timeout(TEST_TIMEOUT).expect("told"), Ok(b"y".to_vec()));
 }
 
 #[test]
 fn an_order_that_is_too_late_is_not_written() {
-    let bench = Bench::new();
-    let (order, copies) = bench.workers.load(&bench.host, ModelId(5), 1, monotonic_ms() - 1.0, PATIENCE);
+    let fixture = Fixture::new();
+    let (order, copies) =
+        fixture.workers.load(&fixture.host, ModelId(5), 1, monotonic_ms() - 1.0, TEST_TIMEOUT);
     assert_eq!((order, copies), (Err(AttemptError::Unfinished(Cause::Barred)), 0));
-    bench.workers.evict(&bench.host, ModelId(6));
-    assert_eq!(bench.peer().next().code, code::EVICT, "nothing went before it");
+    fixture.workers.evict(&fixture.host, ModelId(6));
+    assert_eq!(fixture.peer().next().code, code::EVICT, "nothing went before it");
 }
 
 #[test]
 fn a_refused_connection_never_ran() {
-    let bench = Bench::new();
+    let fixture = Fixture::new();
     let nobody = Host::new(WorkerId(1), "nobody", "127.0.0.1:1".parse().expect("address"));
-    let bench = Bench { host: nobody, ..bench };
-    let (_exchange, end) = bench.send(1);
-    let error = end.recv_timeout(PATIENCE).expect("told").expect_err("refused");
+    let fixture = Fixture { host: nobody, ..fixture };
+    let (_exchange, end) = fixture.send(1);
+    let error = end.recv_timeout(TEST_TIMEOUT).expect("told").expect_err("refused");
     assert_eq!((error, error.outcome()), (AttemptError::Unconnected, Outcome::ConnectFailed));
 }
 
 /// Guards the count of copies: an order that fails tells as well how many stand.
 #[test]
 fn orders_carry_their_word_and_the_copies_that_stand() {
-    let bench = Bench::new();
+    let fixture = Fixture::new();
     let mut answers = vec![(code::OK, "replicas=2"), (code::FULL, "replicas=1"), (code::ERROR, "")];
     std::thread::scope(|scope| {
         scope.spawn(|| {
-            let mut peer = bench.peer();
+            let mut peer = fixture.peer();
             for (code, fields) in std::mem::take(&mut answers) {
                 let order = peer.next();
                 assert_eq!(
@@ -270,11 +271,11 @@
             }
             assert_eq!((peer.next().code, 5), (code::EVICT, 5));
         });
-        let order = || bench.workers.load(&bench.host, ModelId(5), 2, f64::INFINITY, PATIENCE);
+        let order = || fixture.workers.load(&fixture.host, ModelId(5), 2, f64::INFINITY, TEST_TIMEOUT);
         assert_eq!(order(), (Ok(()), 2));
         assert_eq!(order(), (Err(AttemptError::Answered(Verdict::Full)), 1));
         assert_eq!(order(), (Err(AttemptError::Answered(Verdict::Failed)), 0));
-        bench.workers.evict(&bench.host, ModelId(5));
+        fixture.workers.evict(&fixture.host, ModelId(5));
     });
 }
 
@@ -282,20 +283,20 @@
 /// the next call goes out on another. Seen as an incident: a third of all orders vanished on such ones.
 #[test]
 fn a_connection_that_fell_silent_is_passed_over() {
-    let bench = Bench::new();
-    let (_first, _) = bench.send(1);
-    let mut silent = bench.peer();
+    let fixture = Fixture::new();
+    let (_first, _) = fixture.send(1);
+    let mut silent = fixture.peer();
     silent.next();
     std::thread::sleep(std::time::Duration::from_millis(300));
-    let (_second, end) = bench.send(2);
-    let mut fresh = bench.peer();
+    let (_second, end) = fixture.send(2);
+    let mut fresh = fixture.peer();
     assert_eq!(fresh.next().id, 2);
     fresh.answer(code::OK, 2, "", b"y");
-    assert_eq!(end.recv_timeout(PATIENCE).expect("told"), Ok(b"y".to_vec()));
+    assert_eq!(end.recv_timeout(TEST_TIMEOUT).expect("told"), Ok(b"y".to_vec()));
     // Once the worker is heard there again, the connection is as good as any.
     silent.answer(code::OK, 1, "", b"x");
     std::thread::sleep(std::time::Duration::from_millis(100));
-    let (_third, _) = bench.send(3);
+    let (_third, _) = fixture.send(3);
     assert_eq!(silent.next().id, 3);
 }
 
@@ -303,23 +304,23 @@
 /// the next one fits once the connection before has ended.
 #[test]
 fn an_attempt_without_room_for_its_connection_never_ran() {
-    let bench = Bench::with_room(30 << 10);
-    let (_first, first_end) = bench.send(1);
-    let mut peer = bench.peer();
+    let fixture = Fixture::with_room(30 << 10);
+    let (_first, first_end) = fixture.send(1);
+    let mut peer = fixture.peer();
     peer.next();
     // A second connection is wanted where the first is at its limit of exchanges; so many share one.
-    let many: Vec<_> = (2..=40).map(|id| bench.send(id)).collect();
+    let many: Vec<_> = (2..=40).map(|id| fixture.send(id)).collect();
     let barred: Result<Vec<u8>, _> = Err(AttemptError::Unfinished(Cause::Barred));
     let refused =
         many.iter().filter(|(_, end)| end.recv_timeout(Duration::from_millis(20)).as_ref() == Ok(&barred));
     assert_eq!(refused.count(), 8, "32 go on one connection, and there is no room for another");
     assert!(barred.as_ref().is_err_and(|error| error.outcome().proves_not_run()));
     drop(peer);
-    assert!(first_end.recv_timeout(PATIENCE).expect("told").is_err());
+    assert!(first_end.recv_timeout(TEST_TIMEOUT).expect("told").is_err());
     // The room comes back when the connection's tasks have ended, a moment after its end was told.
     let fits = |id| {
         std::thread::sleep(Duration::from_millis(10));
-        bench.send(id).1.recv_timeout(Duration::from_millis(20)) != Ok(barred.clone())
+        fixture.send(id).1.recv_timeout(Duration::from_millis(20)) != Ok(barred.clone())
     };
     assert!((100..2000).any(fits), "the room came back");
 }
--- a/crates/node/tests/invoke.rs
+++ b/crates/node/tests/invoke.rs
@@ -5,7 +5,7 @@
 use std::io::{BufRead, BufReader, Read, Write};
 use std::process::Command;
 use std::time::Duration;
-use support::workers::{Act, Fleet};
+use support::workers::{Behaviour, Fleet};
 use support::{ask, free_address, receive, start, until, Daemon, Folder, CLASSES};
 
 const CHECK: &str = "/v1/functions/check/invocations";
@@ -21,7 +21,7 @@
 
 #[test]
 fn errors_are_problems_that_say_whether_the_call_may_have_run() {
-    let (fleet, folder) = (Fleet::new(&[Act::Serve]), Folder::new());
+    let (fleet, folder) = (Fleet::new(&[Behaviour::Serve]), Folder::new());
     let daemon = Daemon::serve(&folder.write("d.toml", &deploy("n", Some(fleet.http("w1")), "")));
     let at = daemon.address;
     let key = ("Idempotency-Key", "k");
@@ -60,7 +60,7 @@
 
 #[test]
 fn a_connection_carries_one_request_after_the_other_in_order() {
-    let (fleet, folder) = (Fleet::new(&[Act::Serve]), Folder::new());
+    let (fleet, folder) = (Fleet::new(&[Behaviour::Serve]), Folder::new());
     let daemon = Daemon::serve(&folder.write("d.toml", &deploy("n", Some(fleet.http("w1")), "")));
     let mut socket = start(daemon.address, "POST", CHECK, &[], b"one");
     // The second does not wait for the first one's answer, and comes in chunks.
@@ -89,19 +89,19 @@
 /// Guards against work for a client that left, also where it had asked for the connection to be closed.
 #[test]
 fn a_client_that_leaves_before_a_last_answer_withdraws_its_call() {
-    let (fleet, folder) = (Fleet::new(&[Act::Silence]), Folder::new());
+    let (fleet, folder) = (Fleet::new(&[Behaviour::NoAnswer]), Folder::new());
     let transport = "[transport]\nprotocol = \"frames\"";
     let daemon = Daemon::serve(&folder.write("d.toml", &deploy("n", Some(fleet.frames("w1")), transport)));
     let socket = start(daemon.address, "POST", CHECK, &[("Connection", "close")], b"x");
     until("it is out", || fleet.sent().len() == 1);
     drop(socket);
-    until("it is called off", || fleet.called_off() == 1);
+    until("it is called off", || fleet.cancelled() == 1);
 }
 
 /// Guards connections that have had an answer: half a request behind it used to be waited for without end.
 #[test]
 fn half_a_request_behind_an_answer_is_not_waited_for_without_end() {
-    let (fleet, folder) = (Fleet::new(&[Act::Serve]), Folder::new());
+    let (fleet, folder) = (Fleet::new(&[Behaviour::Serve]), Folder::new());
     let daemon = Daemon::serve(&folder.write("d.toml", &deploy("n", Some(fleet.http("w1")), "")));
     let mut reader = BufReader::new(start(daemon.address, "POST", CHECK, &[], b"one"));
     assert_eq!(receive(&mut reader).status, 200);
@@ -127,7 +127,7 @@
 /// Guards the last answer of a held call against a client that is still sending: a close at once would be a reset.
 #[test]
 fn what_crosses_a_last_answer_does_not_reset_it() {
-    let (fleet, folder) = (Fleet::new(&[Act::Hold]), Folder::new());
+    let (fleet, folder) = (Fleet::new(&[Behaviour::Hold]), Folder::new());
     let daemon = Daemon::serve(&folder.write("d.toml", &deploy("n", Some(fleet.http("w1")), "")));
     let mut socket = start(daemon.address, "POST", CHECK, &[("Connection", "close")], b"x");
     until("it is out", || fleet.sent().len() == 1);
@@ -154,7 +154,7 @@
     let crossing =
         [call("", "two"), call("Connection: close\r\n", "two"), call("", "two") + &call("", "three")];
     for crossing in crossing {
-        let (fleet, folder) = (Fleet::new(&[Act::Serve]), Folder::new());
+        let (fleet, folder) = (Fleet::new(&[Behaviour::Serve]), Folder::new());
         let file = format!("sockets = 64\n{}", deploy("n", Some(fleet.http("w1")), ""));
         let daemon = Daemon::serve(&folder.write("d.toml", &file));
         let mut socket = start(daemon.address, "POST", CHECK, &[], b"one");
@@ -179,7 +179,7 @@
 
 #[test]
 fn a_repeat_of_a_key_that_is_open_is_told_so() {
-    let (fleet, folder) = (Fleet::new(&[Act::Hold]), Folder::new());
+    let (fleet, folder) = (Fleet::new(&[Behaviour::Hold]), Folder::new());
     let daemon = Daemon::serve(&folder.write("d.toml", &deploy("n", Some(fleet.http("w1")), "")));
     let key = ("Idempotency-Key", "k");
     let first = start(daemon.address, "POST", POST, &[key], b"x");
@@ -193,7 +193,7 @@
 /// fails, and is not sent again, not even when its key comes once more. What was final stays as it was.
 #[test]
 fn after_a_kill_open_calls_fail_and_final_ones_stand() {
-    let (fleet, folder) = (Fleet::new(&[Act::Serve, Act::Silence]), Folder::new());
+    let (fleet, folder) = (Fleet::new(&[Behaviour::Serve, Behaviour::NoAnswer]), Folder::new());
     let path = folder.write("d.toml", &deploy("n", Some(fleet.http("w1")), ""));
     let mut daemon = Daemon::serve(&path);
     let deferred = |key| [("Idempotency-Key", key), ("Prefer", "respond-async")];
@@ -218,7 +218,7 @@
 
 #[test]
 fn replicas_share_configuration_and_answers_but_only_the_accepting_node_withdraws() {
-    let (fleet, folder) = (Fleet::new(&[Act::Hold]), Folder::new());
+    let (fleet, folder) = (Fleet::new(&[Behaviour::Hold]), Folder::new());
     let peers = [free_address(), free_address()];
     let replication = |own: usize| {
         format!(
@@ -253,7 +253,7 @@
 
 #[test]
 fn sigterm_sees_deferred_calls_to_their_end() {
-    let (fleet, folder) = (Fleet::new(&[Act::Hold]), Folder::new());
+    let (fleet, folder) = (Fleet::new(&[Behaviour::Hold]), Folder::new());
     let path = folder.write("d.toml", &deploy("n", Some(fleet.http("w1")), ""));
     let mut daemon = Daemon::serve(&path);
     let headers = [("Idempotency-Key", "k"), ("Prefer", "respond-async")];
@@ -272,9 +272,9 @@
 /// Guards against a process that a crowd of connections leaves without descriptors for good.
 #[test]
 fn accepting_survives_the_lack_of_descriptors() {
-    let (fleet, folder) = (Fleet::new(&[Act::Serve]), Folder::new());
+    let (fleet, folder) = (Fleet::new(&[Behaviour::Serve]), Folder::new());
     let path = folder.write("d.toml", &deploy("n", Some(fleet.http("w1")), ""));
-    let daemon = Daemon::serve_within(&path, 40);
+    let daemon = Daemon::serve_with_descriptor_limit(&path, 40);
     let crowd: Vec<_> = (0..60).filter_map(|_| std::net::TcpStream::connect(daemon.address).ok()).collect();
     until("descriptors run out", || daemon.errors().contains("accept error="));
     drop(crowd);
@@ -284,7 +284,7 @@
 /// Guards a call with a long deadline against a drain that is shorter.
 #[test]
 fn sigterm_waits_for_the_longest_deadline() {
-    let (fleet, folder) = (Fleet::new(&[Act::Silence]), Folder::new());
+    let (fleet, folder) = (Fleet::new(&[Behaviour::NoAnswer]), Folder::new());
     let path = folder.write("d.toml", &deploy("n", Some(fleet.http("w1")), ""));
     let mut daemon = Daemon::serve(&path);
     let key = ("Idempotency-Key", "k");
@@ -324,7 +324,7 @@
 /// Guards against an import that leaves half of a file, and shows that the daemon loads what it writes.
 #[test]
 fn what_is_imported_is_served_and_errors_change_nothing() {
-    let (fleet, folder) = (Fleet::new(&[Act::Serve]), Folder::new());
+    let (fleet, folder) = (Fleet::new(&[Behaviour::Serve]), Folder::new());
     let address = fleet.http("w1");
     let source = format!(
         "<Proxy balancer://fleet>\n  BalancerMember http://{address} route=w1 loadfactor=2\n  ProxySet lbmethod=byrequests\n</Proxy>\n"
@@ -358,7 +358,7 @@
 /// can't be used changes nothing.
 #[test]
 fn sighup_takes_up_functions_and_workers() {
-    let (fleet, folder) = (Fleet::new(&[Act::Serve]), Folder::new());
+    let (fleet, folder) = (Fleet::new(&[Behaviour::Serve]), Folder::new());
     let path = folder.write("d.toml", &deploy("n", None, ""));
     let daemon = Daemon::serve(&path);
     folder.write("d.toml", "node = 3");
--- a/crates/node/tests/memory.rs
+++ b/crates/node/tests/memory.rs
@@ -8,7 +8,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::process::Command;
 use std::time::Duration;
-use support::workers::{Act, Fleet};
+use support::workers::{Behaviour, Fleet};
 use support::{ask, receive, start, until, Daemon, Folder, Response, CLASSES};
 
 const CHECK: &str = "/v1/functions/check/invocations";
@@ -48,7 +48,7 @@
 /// configured ones are served all the while; what is told is a clean problem.
 #[test]
 fn a_flood_of_functions_is_refused_and_the_configured_are_served() {
-    let (fleet, folder) = (Fleet::new(&[Act::Serve]), Folder::new());
+    let (fleet, folder) = (Fleet::new(&[Behaviour::Serve]), Folder::new());
     let file = deploy("memory_mb = 32", "shares = { catalog = 0.4 }", fleet.http("w1"));
     let daemon = Daemon::serve(&folder.write("d.toml", &file));
     let put = |name: u32| {
@@ -82,7 +82,7 @@
 /// those that were accepted are collected, and new ones fit once the old have had their time.
 #[test]
 fn deferred_calls_are_kept_for_their_time_or_refused_at_the_start() {
-    let (fleet, folder) = (Fleet::new(&[Act::Serve]), Folder::new());
+    let (fleet, folder) = (Fleet::new(&[Behaviour::Serve]), Folder::new());
     let head = "memory_mb = 32\nretention_s = 4";
     let file = deploy(head, "shares = { deferred-final = 1.3 }", fleet.http("w1"));
     let daemon = Daemon::serve(&folder.write("d.toml", &file));
@@ -112,7 +112,7 @@
 /// Guards against a flood of keys: a key is held with room for the answer that a repeat is given.
 #[test]
 fn keys_beyond_their_room_are_told_to_come_again() {
-    let (fleet, folder) = (Fleet::new(&[Act::Hold]), Folder::new());
+    let (fleet, folder) = (Fleet::new(&[Behaviour::Hold]), Folder::new());
     let file = deploy("memory_mb = 32", "shares = { keys = 1.3 }", fleet.http("w1"));
     let daemon = Daemon::serve(&folder.write("d.toml", &file));
     let mut open = Vec::new();
@@ -132,7 +132,7 @@
     assert!(retry_after(&refused) >= 1);
     fleet.release();
     for reader in &mut open {
-        reader.get_ref().set_read_timeout(Some(support::PATIENCE)).expect("set");
+        reader.get_ref().set_read_timeout(Some(support::TEST_TIMEOUT)).expect("set");
         assert_eq!(receive(reader).status, 200, "what was taken is served");
     }
     assert_eq!(ask(daemon.address, "POST", POST, &[("Idempotency-Key", "k-0")], b"x").body, b"done: x");
@@ -144,7 +144,7 @@
 /// bodies announced and never sent. Others are served meanwhile, and all of it comes back.
 #[test]
 fn connections_beyond_their_room_give_way_and_give_back() {
-    let (fleet, folder) = (Fleet::new(&[Act::Serve]), Folder::new());
+    let (fleet, folder) = (Fleet::new(&[Behaviour::Serve]), Folder::new());
     let file = deploy("memory_mb = 32\nsockets = 440", "", fleet.http("w1"));
     let daemon = Daemon::serve(&folder.write("d.toml", &file));
     let half = format!("POST {CHECK} HTTP/1.1\r\nContent-Length: 16000\r\n\r\n{}", "x".repeat(9000));
@@ -181,7 +181,7 @@
 /// fit change nothing, and raised ones count at once.
 #[test]
 fn a_reload_lowers_and_raises_caps_and_ends_nothing() {
-    let (fleet, folder) = (Fleet::new(&[Act::Hold]), Folder::new());
+    let (fleet, folder) = (Fleet::new(&[Behaviour::Hold]), Folder::new());
     let (worker, share) = (fleet.http("w1"), |percent: f64| format!("shares = {{ calls = {percent} }}"));
     let file = |percent| deploy("memory_mb = 64", &share(percent), worker);
     let path = folder.write("d.toml", &file(30.0));
@@ -212,7 +212,7 @@
 
 #[test]
 fn what_is_held_can_be_seen() {
-    let (fleet, folder) = (Fleet::new(&[Act::Serve]), Folder::new());
+    let (fleet, folder) = (Fleet::new(&[Behaviour::Serve]), Folder::new());
     let file = deploy("memory_mb = 64", "", fleet.http("w1"));
     let daemon = Daemon::serve(&folder.write("d.toml", &file));
     assert_eq!(ask(daemon.address, "POST", CHECK, &[], b"x").status, 200);
@@ -245,7 +245,7 @@
 
 #[test]
 fn an_account_that_comes_close_to_its_cap_is_warned_of() {
-    let (fleet, folder) = (Fleet::new(&[Act::Hold]), Folder::new());
+    let (fleet, folder) = (Fleet::new(&[Behaviour::Hold]), Folder::new());
     let file = deploy("memory_mb = 64", "shares = { calls = 1.2 }", fleet.http("w1"));
     let daemon = Daemon::serve(&folder.write("d.toml", &file));
     let open: Vec<_> = (0..40).map(|_| start(daemon.address, "POST", CHECK, &[], b"x")).collect();
@@ -256,7 +256,7 @@
 
 #[test]
 fn caps_that_do_not_fit_together_are_named_by_their_key() {
-    let (fleet, folder) = (Fleet::new(&[Act::Serve]), Folder::new());
+    let (fleet, folder) = (Fleet::new(&[Behaviour::Serve]), Folder::new());
     let worker = fleet.http("w1");
     for (head, memory, key) in [
         ("memory_mb = 8", "", "memory_mb"),
@@ -280,7 +280,7 @@
 /// and not kept.
 #[test]
 fn nothing_stays_of_a_connection_that_broke_in_a_body() {
-    let (fleet, folder) = (Fleet::new(&[Act::Serve]), Folder::new());
+    let (fleet, folder) = (Fleet::new(&[Behaviour::Serve]), Folder::new());
     let file = deploy("memory_mb = 64", "", fleet.http("w1"));
     let daemon = Daemon::serve(&folder.write("d.toml", &file));
     let before = account(&status(&daemon), "clients", "used_bytes");
--- a/crates/node/tests/mesh.rs
+++ b/crates/node/tests/mesh.rs
@@ -8,7 +8,7 @@
     classes_only, delete_function, frame, function_memory, put_function, replication, start_node, status,
     until_ended, Relay,
 };
-use support::{ask, free_address, until, Daemon, Folder, PATIENCE};
+use support::{ask, free_address, until, Daemon, Folder, TEST_TIMEOUT};
 
 /// Sixteen nodes, 120 pairs, may send 4 KB a second in all while nothing changes: so much for each pair.
 const IDLE_BYTES_PER_S_OF_A_PAIR: f64 = 4096.0 / 120.0;
@@ -49,7 +49,7 @@
         if rate <= pairs * IDLE_BYTES_PER_S_OF_A_PAIR {
             return;
         }
-        assert!(began.elapsed() < PATIENCE, "{rate} bytes a second between {pairs} pairs");
+        assert!(began.elapsed() < TEST_TIMEOUT, "{rate} bytes a second between {pairs} pairs");
     }
 }
 
--- a/crates/node/tests/moments.rs
+++ b/crates/node/tests/moments.rs
@@ -7,10 +7,10 @@
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
-use support::late::{requests, LateListener};
-use support::platform::{cancel, dispatch, fields, Bench, Channel, Client, Reply};
-use support::workers::Act;
-use support::{ask, free_address, until, Daemon, PATIENCE};
+use support::late::{requests, SlowAcceptListener};
+use support::platform::{cancel, dispatch, fields, Channel, Client, Fixture, Reply};
+use support::workers::Behaviour;
+use support::{ask, free_address, until, Daemon, TEST_TIMEOUT};
 
 /// For what must not happen: long enough for it to have happened.
 const LONG_ENOUGH: Duration = Duration::from_millis(700);
@@ -22,11 +22,11 @@
 const LET_GO_DRAINED: Duration = Duration::from_millis(700);
 
 /// Waits until the program has taken so many requests.
-fn until_taken(bench: &Bench, count: u32) {
+fn until_taken(fixture: &Fixture, count: u32) {
     let line = format!("taken={count} ");
     until("it is taken", || {
-        bench.daemon.signal("USR1");
-        bench.daemon.errors().contains(&line)
+        fixture.daemon.signal("USR1");
+        fixture.daemon.errors().contains(&line)
     });
 }
 
@@ -59,48 +59,48 @@
 #[test]
 fn a_client_that_left_while_no_worker_took_work_is_not_sent_on() {
     for leaves in WAYS {
-        let bench = Bench::new(&[Act::Serve], 0);
-        let worker = bench.fleet.frames("h0");
-        let mut client = bench.client();
+        let fixture = Fixture::new(&[Behaviour::Serve], 0);
+        let worker = fixture.fleet.frames("h0");
+        let mut client = fixture.client();
         client.send(&check(1, 0xa1));
-        until_taken(&bench, 1);
+        until_taken(&fixture, 1);
         let _stays = leaves.leave(client, 1);
-        until_withdrawn(&bench);
-        bench.channel.tell(2, "h0", worker, "up");
-        let mut other = bench.client();
+        until_withdrawn(&fixture);
+        fixture.channel.tell(2, "h0", worker, "up");
+        let mut other = fixture.client();
         other.send(&check(1, 0xa2));
         assert!(matches!(other.receive(), Some((1, Reply::Answer(_)))), "{leaves:?}");
         std::thread::sleep(LONG_ENOUGH);
-        assert_eq!(bench.fleet.sent().len(), 1, "{leaves:?}");
+        assert_eq!(fixture.fleet.sent().len(), 1, "{leaves:?}");
     }
 }
 
-fn until_withdrawn(bench: &Bench) {
+fn until_withdrawn(fixture: &Fixture) {
     until("it is withdrawn", || {
-        bench.daemon.signal("USR1");
-        bench.daemon.errors().contains("withdrawn=1 ")
+        fixture.daemon.signal("USR1");
+        fixture.daemon.errors().contains("withdrawn=1 ")
     });
 }
 
 #[test]
 fn a_client_that_left_while_a_connection_came_up_is_not_sent_on() {
     for leaves in WAYS {
-        let worker = LateListener::new();
-        let bench = Bench::changed(&[Act::Serve], 0, 1024, 192, |settings| {
+        let worker = SlowAcceptListener::new();
+        let fixture = Fixture::with_settings(&[Behaviour::Serve], 0, 1024, 192, |settings| {
             settings["ceilings"]["connectTimeoutMs"] = json!(8000.0);
         });
         let _full = worker.fill();
-        bench.channel.tell(2, "h0", worker.address, "up");
-        let mut client = bench.client();
+        fixture.channel.tell(2, "h0", worker.address, "up");
+        let mut client = fixture.client();
         client.send(&check(1, 0xa1));
         until("it waits for its connection", || {
-            bench.daemon.signal("USR1");
-            bench.daemon.errors().contains("sent=1 ")
+            fixture.daemon.signal("USR1");
+            fixture.daemon.errors().contains("sent=1 ")
         });
         let _stays = leaves.leave(client, 1);
-        until_withdrawn(&bench);
-        worker.accept(PATIENCE).expect("what filled the queue");
-        let connection = worker.accept(PATIENCE).expect("it comes up at last");
+        until_withdrawn(&fixture);
+        worker.accept(TEST_TIMEOUT).expect("what filled the queue");
+        let connection = worker.accept(TEST_TIMEOUT).expect("it comes up at last");
         assert!(requests(&connection, LONG_ENOUGH).is_empty(), "{leaves:?}");
     }
 }
@@ -108,20 +108,21 @@
 #[test]
 fn a_client_that_left_while_its_model_was_loaded_is_not_sent_on() {
     for leaves in WAYS {
-        let bench = Bench::changed(&[Act::Miss, Act::Serve], 1, 1024, 192, |settings| {
-            settings["specifics"]["notLoaded"] = json!("miss");
-            settings["specifics"]["placementCalls"] = json!(true);
-        });
-        bench.fleet.hold_loads();
-        let mut client = bench.client();
+        let fixture =
+            Fixture::with_settings(&[Behaviour::Miss, Behaviour::Serve], 1, 1024, 192, |settings| {
+                settings["specifics"]["notLoaded"] = json!("miss");
+                settings["specifics"]["placementCalls"] = json!(true);
+            });
+        fixture.fleet.hold_loads();
+        let mut client = fixture.client();
         client.send(&check(1, 0xa1));
-        until("the load is ordered", || !bench.fleet.ordered().is_empty());
-        let before = bench.fleet.sent().len();
+        until("the load is ordered", || !fixture.fleet.load_orders().is_empty());
+        let before = fixture.fleet.sent().len();
         let _stays = leaves.leave(client, 1);
-        until_withdrawn(&bench);
-        bench.fleet.release();
+        until_withdrawn(&fixture);
+        fixture.fleet.release();
         std::thread::sleep(LONG_ENOUGH);
-        assert_eq!(bench.fleet.sent().len(), before, "{leaves:?}");
+        assert_eq!(fixture.fleet.sent().len(), before, "{leaves:?}");
     }
 }
 
@@ -129,23 +130,23 @@
 #[test]
 fn a_client_that_left_before_its_second_attempt_is_not_sent_on() {
     for leaves in WAYS {
-        let worker = LateListener::new();
-        let bench = Bench::new(&[Act::Serve], 0);
-        bench.channel.tell(2, "h0", worker.address, "up");
-        let mut client = bench.client();
+        let worker = SlowAcceptListener::new();
+        let fixture = Fixture::new(&[Behaviour::Serve], 0);
+        fixture.channel.tell(2, "h0", worker.address, "up");
+        let mut client = fixture.client();
         client.send(&check(1, 0xa1));
-        let first = worker.accept(PATIENCE).expect("the first attempt");
+        let first = worker.accept(TEST_TIMEOUT).expect("the first attempt");
         assert_eq!(requests(&first, Duration::from_millis(100)), [0xa1]);
-        bench.channel.tell(3, "h0", worker.address, "draining");
+        fixture.channel.tell(3, "h0", worker.address, "draining");
         std::thread::sleep(Duration::from_millis(200));
         drop(first);
         until("it broke", || {
-            bench.daemon.signal("USR1");
-            bench.daemon.errors().contains("lost_reset=1 ")
+            fixture.daemon.signal("USR1");
+            fixture.daemon.errors().contains("lost_reset=1 ")
         });
         let _stays = leaves.leave(client, 1);
-        until_withdrawn(&bench);
-        bench.channel.tell(4, "h0", worker.address, "up");
+        until_withdrawn(&fixture);
+        fixture.channel.tell(4, "h0", worker.address, "up");
         assert!(worker.accept(LONG_ENOUGH).is_none(), "{leaves:?}");
     }
 }
@@ -155,20 +156,20 @@
 #[test]
 fn a_client_that_left_during_the_drain_is_not_sent_on() {
     for leaves in WAYS {
-        let mut bench = Bench::new(&[Act::Serve], 0);
-        let worker = bench.fleet.frames("h0");
-        let (mut leaver, mut stayer) = (bench.client(), bench.client());
+        let mut fixture = Fixture::new(&[Behaviour::Serve], 0);
+        let worker = fixture.fleet.frames("h0");
+        let (mut leaver, mut stayer) = (fixture.client(), fixture.client());
         leaver.send(&check(1, 0xa1));
         stayer.send(&check(1, 0xa2));
-        until_taken(&bench, 2);
-        bench.daemon.signal("TERM");
+        until_taken(&fixture, 2);
+        fixture.daemon.signal("TERM");
         std::thread::sleep(LET_GO);
         let _stays = leaves.leave(leaver, 1);
         std::thread::sleep(Duration::from_millis(200));
-        bench.channel.tell(2, "h0", worker, "up");
+        fixture.channel.tell(2, "h0", worker, "up");
         assert!(matches!(stayer.receive(), Some((1, Reply::Answer(_)))), "{leaves:?}");
-        assert_eq!(bench.daemon.exit_code(), Some(0));
-        assert_eq!(bench.fleet.sent().len(), 1, "{leaves:?}");
+        assert_eq!(fixture.daemon.exit_code(), Some(0));
+        assert_eq!(fixture.fleet.sent().len(), 1, "{leaves:?}");
     }
 }
 
@@ -177,116 +178,116 @@
 #[test]
 fn a_client_whose_request_stood_unread_at_the_drain_is_seen_to_leave() {
     const CLIENTS: u64 = 40;
-    let bench = Bench::new(&[Act::Serve], 0);
-    let worker = bench.fleet.frames("h0");
-    assert!(ask(bench.admin, "PUT", "/v1/invoker/drain", &[], b"").status < 300);
+    let fixture = Fixture::new(&[Behaviour::Serve], 0);
+    let worker = fixture.fleet.frames("h0");
+    assert!(ask(fixture.admin, "PUT", "/v1/invoker/drain", &[], b"").status < 300);
     let called = Instant::now();
-    let mut clients: Vec<Client> = (0..CLIENTS).map(|_| bench.client()).collect();
+    let mut clients: Vec<Client> = (0..CLIENTS).map(|_| fixture.client()).collect();
     std::thread::sleep(LET_GO_DRAINED.saturating_sub(called.elapsed() + Duration::from_millis(300)));
-    bench.daemon.signal("STOP");
+    fixture.daemon.signal("STOP");
     for (client, id) in clients.iter_mut().zip(0x100..) {
         client.send(&check(1, id));
     }
     std::thread::sleep(LET_GO_DRAINED.saturating_sub(called.elapsed()) + Duration::from_millis(100));
-    bench.daemon.signal("CONT");
-    until_taken(&bench, CLIENTS as u32);
+    fixture.daemon.signal("CONT");
+    until_taken(&fixture, CLIENTS as u32);
     drop(clients);
     let withdrawn = format!("withdrawn={CLIENTS} ");
     until("all are withdrawn", || {
-        bench.daemon.signal("USR1");
-        bench.daemon.errors().contains(&withdrawn)
+        fixture.daemon.signal("USR1");
+        fixture.daemon.errors().contains(&withdrawn)
     });
-    bench.channel.tell(2, "h0", worker, "up");
+    fixture.channel.tell(2, "h0", worker, "up");
     std::thread::sleep(LONG_ENOUGH);
-    assert!(bench.fleet.sent().is_empty());
+    assert!(fixture.fleet.sent().is_empty());
 }
 
 /// Guards what has come by the end of the process and was not read: the process stands still from the time in which it
 /// takes requests to after it, and finds them all at once.
 #[test]
 fn what_came_by_the_end_of_the_process_is_answered() {
-    let mut bench = Bench::new(&[Act::Serve], 1);
-    let mut clients: Vec<Client> = (0..40).map(|_| bench.client()).collect();
+    let mut fixture = Fixture::new(&[Behaviour::Serve], 1);
+    let mut clients: Vec<Client> = (0..40).map(|_| fixture.client()).collect();
     for (number, client) in clients.iter_mut().enumerate() {
         client.send(&check(1, 0x100 + number as u64));
         assert!(client.receive().is_some());
     }
-    bench.daemon.signal("TERM");
+    fixture.daemon.signal("TERM");
     std::thread::sleep(Duration::from_millis(200));
-    bench.daemon.signal("STOP");
-    clients.extend((0..20).map(|_| bench.client()));
+    fixture.daemon.signal("STOP");
+    clients.extend((0..20).map(|_| fixture.client()));
     for (number, client) in clients.iter_mut().enumerate() {
         client.send(&check(2, 0x200 + number as u64));
     }
     std::thread::sleep(LET_GO);
-    bench.daemon.signal("CONT");
+    fixture.daemon.signal("CONT");
     for (number, client) in clients.iter_mut().enumerate() {
         let reply = client.receive();
         assert!(matches!(reply, Some((2, Reply::Answer(_) | Reply::Rejected(_)))), "{number}: {reply:?}");
     }
-    assert_eq!(bench.daemon.exit_code(), Some(0));
+    assert_eq!(fixture.daemon.exit_code(), Some(0));
 }
 
 /// Guards a request that comes in the instant in which its idle connection is closed: what has come by then is read.
 #[test]
 fn a_request_at_the_end_of_an_idle_connections_time_is_answered() {
-    let bench = Bench::new(&[Act::Serve], 1);
-    let mut client = bench.client();
+    let fixture = Fixture::new(&[Behaviour::Serve], 1);
+    let mut client = fixture.client();
     client.send(&check(1, 0xa1));
     assert!(matches!(client.receive(), Some((1, Reply::Answer(_)))));
     std::thread::sleep(Duration::from_millis(4000));
-    bench.daemon.signal("STOP");
+    fixture.daemon.signal("STOP");
     client.send(&check(2, 0xa2));
     // Its time, 4.5 s, is over meanwhile.
     std::thread::sleep(Duration::from_millis(800));
-    bench.daemon.signal("CONT");
+    fixture.daemon.signal("CONT");
     assert!(matches!(client.receive(), Some((2, Reply::Answer(_)))));
 }
 
 /// A request waits, since no worker takes work; one that would, its client, and the channel that the file names now.
-fn one_waits_and_the_channel_moves() -> (Bench, SocketAddr, Client, Channel) {
-    let bench = Bench::new(&[Act::Serve], 0);
-    let worker = bench.fleet.frames("h0");
-    let mut client = bench.client();
+fn one_waits_and_the_channel_moves() -> (Fixture, SocketAddr, Client, Channel) {
+    let fixture = Fixture::new(&[Behaviour::Serve], 0);
+    let worker = fixture.fleet.frames("h0");
+    let mut client = fixture.client();
     client.send(&check(1, 0xa1));
-    until_taken(&bench, 1);
+    until_taken(&fixture, 1);
     let next = Channel::new();
-    reload_to(&bench, &next);
-    (bench, worker, client, next)
+    reload_to(&fixture, &next);
+    (fixture, worker, client, next)
 }
 
-fn reload_to(bench: &Bench, channel: &Channel) {
-    let mut config = bench.config.clone();
+fn reload_to(fixture: &Fixture, channel: &Channel) {
+    let mut config = fixture.config.clone();
     config["channel"] = json!(channel.address.to_string());
-    bench.folder.write("config.json", &config.to_string());
+    fixture.folder.write("config.json", &config.to_string());
 }
 
 /// Guards the news of the workers while the process ends: a reload that comes behind SIGTERM used to be left undone, and
 /// the old channel may be no more.
 #[test]
 fn a_reload_is_heeded_while_the_process_ends() {
-    let (mut bench, worker, mut client, next) = one_waits_and_the_channel_moves();
-    bench.daemon.signal("TERM");
+    let (mut fixture, worker, mut client, next) = one_waits_and_the_channel_moves();
+    fixture.daemon.signal("TERM");
     std::thread::sleep(Duration::from_millis(100));
-    bench.daemon.signal("HUP");
+    fixture.daemon.signal("HUP");
     next.tell(2, "h0", worker, "up");
-    assert!(matches!(client.receive(), Some((1, Reply::Answer(_)))), "{}", bench.daemon.errors());
-    assert_eq!(bench.daemon.exit_code(), Some(0));
+    assert!(matches!(client.receive(), Some((1, Reply::Answer(_)))), "{}", fixture.daemon.errors());
+    assert_eq!(fixture.daemon.exit_code(), Some(0));
 }
 
 /// Both signals stand when the process looks; whichever it takes first, both are heeded.
 #[test]
 fn sighup_and_sigterm_at_once_are_both_heeded() {
     for [first, second] in [["HUP", "TERM"], ["TERM", "HUP"]] {
-        let (mut bench, worker, mut client, next) = one_waits_and_the_channel_moves();
-        bench.daemon.signal("STOP");
-        bench.daemon.signal(first);
-        bench.daemon.signal(second);
-        bench.daemon.signal("CONT");
+        let (mut fixture, worker, mut client, next) = one_waits_and_the_channel_moves();
+        fixture.daemon.signal("STOP");
+        fixture.daemon.signal(first);
+        fixture.daemon.signal(second);
+        fixture.daemon.signal("CONT");
         next.tell(2, "h0", worker, "up");
         let reply = client.receive();
-        assert!(matches!(reply, Some((1, Reply::Answer(_)))), "{first}: {}", bench.daemon.errors());
-        assert_eq!(bench.daemon.exit_code(), Some(0));
+        assert!(matches!(reply, Some((1, Reply::Answer(_)))), "{first}: {}", fixture.daemon.errors());
+        assert_eq!(fixture.daemon.exit_code(), Some(0));
     }
 }
 
@@ -294,22 +295,22 @@
 /// requests open on it with it.
 #[test]
 fn half_a_message_does_not_end_what_is_owed_before_it() {
-    let bench = Bench::new(&[Act::Hold], 1);
-    let mut client = bench.client();
-    let open = bench.send_out(&mut client, 0xa1, "8000");
+    let fixture = Fixture::new(&[Behaviour::Hold], 1);
+    let mut client = fixture.client();
+    let open = fixture.send_until_dispatched(&mut client, 0xa1, "8000");
     let next = check(open + 1, 0xb1);
     client.send(&next[..next.len() / 2]);
     // Longer than a message may take where nothing is owed.
     std::thread::sleep(Duration::from_millis(2200));
-    bench.fleet.release();
+    fixture.fleet.release();
     assert!(matches!(client.receive(), Some((seqid, Reply::Answer(_))) if seqid == open));
     assert_eq!(client.receive(), None, "nothing is owed any more, and the message has had its time");
 }
 
 #[test]
 fn a_request_that_comes_a_byte_at_a_time_is_served() {
-    let bench = Bench::new(&[Act::Serve], 1);
-    let mut client = bench.client();
+    let fixture = Fixture::new(&[Behaviour::Serve], 1);
+    let mut client = fixture.client();
     client.socket.set_nodelay(true).expect("set");
     for byte in check(1, 0xa1) {
         client.send(&[byte]);
@@ -322,25 +323,25 @@
 /// out after it does not go out.
 #[test]
 fn a_keyed_repeat_goes_out_within_its_window_or_not_at_all() {
-    let worker = LateListener::new();
-    let bench = Bench::changed(&[Act::Serve], 0, 1024, 192, |settings| {
+    let worker = SlowAcceptListener::new();
+    let fixture = Fixture::with_settings(&[Behaviour::Serve], 0, 1024, 192, |settings| {
         settings["ceilings"]["connectTimeoutMs"] = json!(3000.0);
         settings["classes"][1]["dedupWindowMs"] = json!(700.0);
         settings["classes"][1]["giveUpMs"] = json!(8000.0);
     });
-    bench.channel.tell(2, "h0", worker.address, "up");
-    let mut client = bench.client();
+    fixture.channel.tell(2, "h0", worker.address, "up");
+    let mut client = fixture.client();
     client.send(&dispatch(1, &fields("post", "00000000000000a1", "8000"), b"x"));
-    let first = worker.accept(PATIENCE).expect("the first attempt");
+    let first = worker.accept(TEST_TIMEOUT).expect("the first attempt");
     assert_eq!(requests(&first, Duration::from_millis(100)), [0xa1]);
     let _full = worker.fill();
     drop(first);
     until("the repeat waits for its connection", || {
-        bench.daemon.signal("USR1");
-        bench.daemon.errors().contains("sent=2 ")
+        fixture.daemon.signal("USR1");
+        fixture.daemon.errors().contains("sent=2 ")
     });
-    worker.accept(PATIENCE).expect("what filled the queue");
-    let second = worker.accept(PATIENCE).expect("it comes up, a second late");
+    worker.accept(TEST_TIMEOUT).expect("what filled the queue");
+    let second = worker.accept(TEST_TIMEOUT).expect("it comes up, a second late");
     assert!(requests(&second, LONG_ENOUGH).is_empty(), "the window is over");
     assert_eq!(client.receive(), Some((1, Reply::Crashed)), "it may have run");
 }
@@ -348,67 +349,67 @@
 /// A connection that comes up late, or never, holds up nobody beyond the time that it is given.
 #[test]
 fn a_connection_that_never_comes_up_is_given_up_and_another_worker_serves() {
-    let worker = LateListener::new();
-    let bench = Bench::new(&[Act::Serve], 0);
+    let worker = SlowAcceptListener::new();
+    let fixture = Fixture::new(&[Behaviour::Serve], 0);
     let _full = worker.fill();
-    bench.channel.tell(2, "h0", worker.address, "up");
-    let mut client = bench.client();
+    fixture.channel.tell(2, "h0", worker.address, "up");
+    let mut client = fixture.client();
     client.send(&check(1, 0xa1));
     until("it failed there", || {
-        bench.daemon.signal("USR1");
-        bench.daemon.errors().contains("dials_failed=1 ")
+        fixture.daemon.signal("USR1");
+        fixture.daemon.errors().contains("dials_failed=1 ")
     });
-    bench.channel.tell(3, "h1", bench.fleet.frames("h1"), "up");
-    assert!(matches!(client.receive(), Some((1, Reply::Answer(_)))), "{}", bench.daemon.errors());
+    fixture.channel.tell(3, "h1", fixture.fleet.frames("h1"), "up");
+    assert!(matches!(client.receive(), Some((1, Reply::Answer(_)))), "{}", fixture.daemon.errors());
 }
 
 /// Guards the rule on drains against a watch that stays open and brings nothing more: it is called again, from the last
 /// event heard.
 #[test]
 fn a_watch_that_falls_silent_is_called_again() {
-    let bench = Bench::new(&[Act::Serve], 2);
-    assert_eq!(bench.channel.calls.recv_timeout(PATIENCE).as_deref(), Ok("1"));
-    bench.channel.tell(2, "h9", free_address(), "removed");
-    bench.channel.events.send("fall silent".into()).expect("channel");
-    assert_eq!(bench.channel.calls.recv_timeout(PATIENCE).as_deref(), Ok("2"));
-    bench.channel.tell(3, "h0", bench.hosts[0], "draining");
-    sent_to_h1_alone(&bench);
+    let fixture = Fixture::new(&[Behaviour::Serve], 2);
+    assert_eq!(fixture.channel.calls.recv_timeout(TEST_TIMEOUT).as_deref(), Ok("1"));
+    fixture.channel.tell(2, "h9", free_address(), "removed");
+    fixture.channel.events.send("fall silent".into()).expect("channel");
+    assert_eq!(fixture.channel.calls.recv_timeout(TEST_TIMEOUT).as_deref(), Ok("2"));
+    fixture.channel.tell(3, "h0", fixture.hosts[0], "draining");
+    sent_to_h1_alone(&fixture);
 }
 
 /// Guards the same against a watch that repeats events and goes back behind those that were heard.
 #[test]
 fn what_a_watch_repeats_takes_nothing_back() {
-    let bench = Bench::new(&[Act::Serve], 2);
-    bench.channel.tell(2, "h0", bench.hosts[0], "up");
-    bench.channel.tell(3, "h0", bench.hosts[0], "draining");
-    bench.channel.tell(2, "h0", bench.hosts[0], "up");
-    bench.channel.tell(3, "h0", bench.hosts[0], "up");
-    bench.channel.tell(1, "h0", bench.hosts[0], "up");
+    let fixture = Fixture::new(&[Behaviour::Serve], 2);
+    fixture.channel.tell(2, "h0", fixture.hosts[0], "up");
+    fixture.channel.tell(3, "h0", fixture.hosts[0], "draining");
+    fixture.channel.tell(2, "h0", fixture.hosts[0], "up");
+    fixture.channel.tell(3, "h0", fixture.hosts[0], "up");
+    fixture.channel.tell(1, "h0", fixture.hosts[0], "up");
     // Told behind them all, so that they were read once it is heeded.
-    bench.channel.events.send("hang up".into()).expect("channel");
-    until("it is called again from the last", || bench.channel.calls.try_iter().any(|call| call == "3"));
-    sent_to_h1_alone(&bench);
+    fixture.channel.events.send("hang up".into()).expect("channel");
+    until("it is called again from the last", || fixture.channel.calls.try_iter().any(|call| call == "3"));
+    sent_to_h1_alone(&fixture);
 }
 
-fn sent_to_h1_alone(bench: &Bench) {
-    let mut client = bench.client();
+fn sent_to_h1_alone(fixture: &Fixture) {
+    let mut client = fixture.client();
     std::thread::sleep(Duration::from_millis(300));
-    let before = bench.fleet.sent().len();
+    let before = fixture.fleet.sent().len();
     for number in 1..=6 {
         client.send(&check(number, 0xd0 + number as u64));
         assert!(matches!(client.receive(), Some((_, Reply::Answer(_)))));
     }
-    let sent = &bench.fleet.sent()[before..];
+    let sent = &fixture.fleet.sent()[before..];
     assert!(sent.iter().all(|sent| sent.worker == "h1"), "{sent:?}");
 }
 
 #[test]
 fn discovery_that_is_down_at_the_start_holds_up_nobody_and_is_heard_once_it_is_up() {
-    let bench = Bench::new(&[Act::Serve], 2);
-    let mut config = bench.config.clone();
+    let fixture = Fixture::new(&[Behaviour::Serve], 2);
+    let mut config = fixture.config.clone();
     let discovery = free_address();
     config["channel"] = json!(discovery.to_string());
-    let path = bench.folder.write("deaf.json", &config.to_string());
+    let path = fixture.folder.write("deaf.json", &config.to_string());
     let daemon = Daemon::platform(&path, free_address());
     let mut client = Client::new(daemon.address);
     client.send(&check(1, 0xa1));
@@ -421,8 +422,8 @@
 /// bounded, and they are served meanwhile.
 #[test]
 fn a_flood_holds_up_no_usual_client() {
-    let bench = Bench::limited(&[Act::Serve], 1, 256, 32);
-    let address = bench.daemon.address;
+    let fixture = Fixture::with_limits(&[Behaviour::Serve], 1, 256, 32);
+    let address = fixture.daemon.address;
     let flood = |bytes: Vec<u8>| {
         std::thread::spawn(move || {
             for _ in 0..400 {
@@ -434,7 +435,7 @@
     };
     let requests: Vec<u8> = (1..=64).flat_map(|number| check(number, 0x1000 + number as u64)).collect();
     // Whoever never had an answer gives way first, so this one is a usual client from its first answer on.
-    let mut usual = bench.client();
+    let mut usual = fixture.client();
     usual.send(&check(1, 0xa000));
     assert!(matches!(usual.receive(), Some((1, Reply::Answer(_)))));
     let floods = [flood(vec![7; 64]), flood(Vec::new()), flood(vec![0, 0, 0, 9, 1]), flood(requests)];
@@ -446,12 +447,13 @@
     floods.into_iter().for_each(|flood| flood.join().expect("ends"));
     // What is left of the flood in the queue may still want its place before its first request is there; it comes again.
     let served = (1..=20).any(|number| {
-        let mut late = bench.client();
+        let mut late = fixture.client();
         late.socket.write_all(&check(1, 0xb000 + number)).is_ok()
             && matches!(late.receive(), Some((1, Reply::Answer(_))))
     });
-    assert!(served, "nobody is served after the flood: {}", bench.daemon.errors());
-    let status = std::fs::read_to_string(format!("/proc/{}/status", bench.daemon.child.id())).expect("Linux");
+    assert!(served, "nobody is served after the flood: {}", fixture.daemon.errors());
+    let status =
+        std::fs::read_to_string(format!("/proc/{}/status", fixture.daemon.child.id())).expect("Linux");
     let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).expect("a line");
     let kilobytes: f64 = peak.split_whitespace().next().and_then(|text| text.parse().ok()).expect("a figure");
     assert!(kilobytes / 1024.0 < 32.0, "{peak}");
@@ -462,14 +464,14 @@
 /// request is written, and the program stands still meanwhile.
 #[test]
 fn a_request_that_came_before_its_connection_gave_way_is_answered() {
-    let bench = Bench::within(&[Act::Serve], 1, ONE_PLACE);
-    let mut client = bench.client();
+    let fixture = Fixture::with_descriptor_limit(&[Behaviour::Serve], 1, ONE_PLACE);
+    let mut client = fixture.client();
     client.send(&check(1, 0xa1));
     assert!(matches!(client.receive(), Some((1, Reply::Answer(_)))));
-    bench.daemon.signal("STOP");
-    let mut newcomer = bench.client();
+    fixture.daemon.signal("STOP");
+    let mut newcomer = fixture.client();
     client.send(&check(2, 0xa2));
-    bench.daemon.signal("CONT");
+    fixture.daemon.signal("CONT");
     assert!(matches!(client.receive(), Some((2, Reply::Answer(_)))));
     assert_eq!(client.receive(), None, "it has given way");
     newcomer.send(&check(1, 0xb1));
@@ -479,12 +481,12 @@
 /// An answer behind its request's being taken back reaches nobody, and the connection goes on.
 #[test]
 fn an_answer_behind_a_cancel_reaches_nobody() {
-    let bench = Bench::new(&[Act::Hold], 1);
-    let mut client = bench.client();
-    let open = bench.send_out(&mut client, 0xa1, "8000");
+    let fixture = Fixture::new(&[Behaviour::Hold], 1);
+    let mut client = fixture.client();
+    let open = fixture.send_until_dispatched(&mut client, 0xa1, "8000");
     client.send(&cancel(open));
-    until_withdrawn(&bench);
-    bench.fleet.release();
+    until_withdrawn(&fixture);
+    fixture.fleet.release();
     client.send(&check(open + 1, 0xb1));
     assert!(matches!(client.receive(), Some((seqid, Reply::Answer(_))) if seqid == open + 1));
 }
@@ -492,14 +494,14 @@
 /// An answer and the end of its request's time stand together when the program looks: one of them is told, once.
 #[test]
 fn an_answer_in_the_instant_of_a_time_out_is_told_once_or_not_at_all() {
-    let bench = Bench::new(&[Act::Hold, Act::Serve], 1);
-    let mut client = bench.client();
-    let open = bench.send_out(&mut client, 0xa1, "2000");
+    let fixture = Fixture::new(&[Behaviour::Hold, Behaviour::Serve], 1);
+    let mut client = fixture.client();
+    let open = fixture.send_until_dispatched(&mut client, 0xa1, "2000");
     std::thread::sleep(Duration::from_millis(1000));
-    bench.daemon.signal("STOP");
-    bench.fleet.release();
+    fixture.daemon.signal("STOP");
+    fixture.fleet.release();
     std::thread::sleep(Duration::from_millis(1200));
-    bench.daemon.signal("CONT");
+    fixture.daemon.signal("CONT");
     let reply = client.receive();
     assert!(matches!(&reply, Some((seqid, _)) if *seqid == open), "{reply:?}");
     client.send(&check(open + 1, 0xb1));
@@ -510,10 +512,10 @@
 /// worker serves.
 #[test]
 fn a_worker_that_reads_none_holds_up_nobody() {
-    let bench = Bench::new(&[Act::Serve], 1);
+    let fixture = Fixture::new(&[Behaviour::Serve], 1);
     let deaf = TcpListener::bind("127.0.0.1:0").expect("a port");
-    bench.channel.tell(2, "h9", deaf.local_addr().expect("bound"), "up");
-    let (mut clients, body) = ((0..8).map(|_| bench.client()).collect::<Vec<_>>(), vec![7; 16 << 10]);
+    fixture.channel.tell(2, "h9", deaf.local_addr().expect("bound"), "up");
+    let (mut clients, body) = ((0..8).map(|_| fixture.client()).collect::<Vec<_>>(), vec![7; 16 << 10]);
     let (mut answers, start) = (0, Instant::now());
     for round in 1..=10 {
         for (number, client) in clients.iter_mut().enumerate() {
@@ -533,13 +535,13 @@
 /// New versions of what is loaded come while nothing else is amiss: no call is lost, and nearly all are served.
 #[test]
 fn new_versions_on_a_quiet_day_lose_no_call() {
-    let bench = Bench::changed(&[Act::Serve], 3, 1024, 192, |settings| {
+    let fixture = Fixture::with_settings(&[Behaviour::Serve], 3, 1024, 192, |settings| {
         settings["specifics"]["notLoaded"] = json!("miss");
         settings["specifics"]["placementCalls"] = json!(true);
     });
-    bench.fleet.lack_all();
+    fixture.fleet.require_load_orders();
     // A client for each model, which opens fewer than a connection may.
-    let mut clients: Vec<Client> = (0..6).map(|_| bench.client()).collect();
+    let mut clients: Vec<Client> = (0..6).map(|_| fixture.client()).collect();
     let mut replies = Vec::new();
     for version in 1..=3 {
         for call in 1..=10 {
@@ -571,19 +573,19 @@
 fn a_request_at_the_end_of_a_workers_idle_connection_goes_out_as_its_class_allows() {
     for (effect, repeats) in [("pure", true), ("side_effect", false)] {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let bench = Bench::changed(&[Act::Serve], 0, 1024, 192, |settings| {
+        let fixture = Fixture::with_settings(&[Behaviour::Serve], 0, 1024, 192, |settings| {
             settings["classes"][0]["idempotency"] = json!(effect);
         });
-        bench.channel.tell(2, "h0", listener.local_addr().expect("bound"), "up");
-        let mut client = bench.client();
+        fixture.channel.tell(2, "h0", listener.local_addr().expect("bound"), "up");
+        let mut client = fixture.client();
         client.send(&check(1, 0xa1));
         let (mut idle, _) = listener.accept().expect("the first connection");
         serve_one(&mut idle);
         assert!(matches!(client.receive(), Some((1, Reply::Answer(_)))));
-        bench.daemon.signal("STOP");
+        fixture.daemon.signal("STOP");
         drop(idle);
         client.send(&check(2, 0xa2));
-        bench.daemon.signal("CONT");
+        fixture.daemon.signal("CONT");
         let served = std::thread::spawn(move || {
             listener.set_nonblocking(true).expect("set");
             let start = Instant::now();
@@ -626,10 +628,10 @@
 /// Where nobody listens any more the caller is refused, and not left without an answer.
 #[test]
 fn a_listener_that_has_ended_refuses() {
-    let mut bench = Bench::new(&[Act::Serve], 1);
-    let address: SocketAddr = bench.daemon.address;
-    bench.daemon.signal("TERM");
-    assert_eq!(bench.daemon.exit_code(), Some(0));
+    let mut fixture = Fixture::new(&[Behaviour::Serve], 1);
+    let address: SocketAddr = fixture.daemon.address;
+    fixture.daemon.signal("TERM");
+    assert_eq!(fixture.daemon.exit_code(), Some(0));
     assert!(Client::connect(address).is_none());
     TcpListener::bind(address).expect("the address is free at once");
 }
--- a/crates/node/tests/platform.rs
+++ b/crates/node/tests/platform.rs
@@ -6,21 +6,21 @@
 use std::io::{Read, Write};
 use std::sync::mpsc::channel;
 use std::time::{Duration, Instant};
-use support::platform::{dispatch, fields, message, nodes, Bench, Channel, Client, Reply};
-use support::workers::{Act, LONG};
+use support::platform::{dispatch, fields, message, nodes, Channel, Client, Fixture, Reply};
+use support::workers::{Behaviour, LONG};
 use support::{free_address, until, Folder};
 
 #[test]
 fn alive_and_served_in_any_order() {
-    let bench = Bench::new(&[Act::Hold, Act::Serve], 2);
-    let mut client = bench.client();
+    let fixture = Fixture::new(&[Behaviour::Hold, Behaviour::Serve], 2);
+    let mut client = fixture.client();
     client.send(&message(1, "alive", 1, &[2, 0, 1, 1, 0]));
     assert_eq!(client.receive(), Some((1, Reply::Answer(Vec::new()))));
     client.send(&dispatch(2, &fields("check", "9b1f03aa5c7e2d41", "4000"), b"slow"));
-    until("the first is out", || bench.fleet.sent().len() == 1);
+    until("the first is out", || fixture.fleet.sent().len() == 1);
     client.send(&dispatch(3, &fields("check", "9b1f03aa5c7e2d42", "4000"), b"\x00\xff"));
     let second = client.receive();
-    bench.fleet.release();
+    fixture.fleet.release();
     // Both go to the warm worker, whose stand-in answers one after the other.
     let first = client.receive();
     let mut seqids: Vec<i32> =
@@ -31,19 +31,19 @@
 
 #[test]
 fn a_body_and_its_key_pass_on_unchanged() {
-    let bench = Bench::new(&[Act::Serve], 1);
-    let mut client = bench.client();
+    let fixture = Fixture::new(&[Behaviour::Serve], 1);
+    let mut client = fixture.client();
     client.send(&dispatch(1, &fields("post", "9b1f03aa5c7e2d41", "3000"), b"\x00\xff,="));
     assert_eq!(client.receive(), Some((1, Reply::Answer(b"done: \x00\xff,=".to_vec()))));
-    let sent = &bench.fleet.sent()[0];
+    let sent = &fixture.fleet.sent()[0];
     assert_eq!(sent.key.as_deref(), Some("5c0f6e1a2b3d4c59a8b7c6d5e4f30211"));
     assert_eq!(sent.body, b"\x00\xff,=");
 }
 
 #[test]
 fn what_cannot_be_read_fails_under_its_number_and_the_connection_goes_on() {
-    let bench = Bench::new(&[Act::Serve], 1);
-    let mut client = bench.client();
+    let fixture = Fixture::new(&[Behaviour::Serve], 1);
+    let mut client = fixture.client();
     let good = fields("check", "9b1f03aa5c7e2d41", "4000");
     let changed = |name: &str, value: &'static str| {
         let change =
@@ -83,29 +83,29 @@
     assert!(matches!(client.receive(), Some((7, Reply::Answer(_)))));
     client.send(&[0, 0, 0, 4, 1, 2, 3, 4]);
     assert_eq!(client.receive(), None, "no number is known, so the connection ends");
-    assert_eq!(bench.fleet.sent().len(), 1);
+    assert_eq!(fixture.fleet.sent().len(), 1);
 }
 
 #[test]
 fn each_request_ends_before_its_time_is_up() {
-    let bench = Bench::new(&[Act::Silence], 2);
-    let mut client = bench.client();
+    let fixture = Fixture::new(&[Behaviour::NoAnswer], 2);
+    let mut client = fixture.client();
     let start = Instant::now();
     client.send(&dispatch(1, &fields("post", "9b1f03aa5c7e2d41", "600"), b"x"));
     assert_eq!(client.receive(), Some((1, Reply::Crashed)));
     // Its own 600 ms count, not the 3 s of its class.
     assert!(start.elapsed() < Duration::from_millis(2500), "{:?}", start.elapsed());
-    assert_eq!(bench.fleet.sent().len(), 1);
+    assert_eq!(fixture.fleet.sent().len(), 1);
 }
 
 #[test]
 fn a_cancelled_request_is_owed_no_answer_and_its_work_is_called_off() {
-    let bench = Bench::new(&[Act::Silence, Act::Serve], 1);
-    let mut client = bench.client();
+    let fixture = Fixture::new(&[Behaviour::NoAnswer, Behaviour::Serve], 1);
+    let mut client = fixture.client();
     client.send(&dispatch(1, &fields("check", "9b1f03aa5c7e2d41", "4000"), b"x"));
-    until("it is out", || bench.fleet.sent().len() == 1);
+    until("it is out", || fixture.fleet.sent().len() == 1);
     client.send(&message(4, "cancelRequest", 2, &[8, 0, 1, 0, 0, 0, 1, 0]));
-    until("it is called off", || bench.fleet.called_off() == 1);
+    until("it is called off", || fixture.fleet.cancelled() == 1);
     client.send(&dispatch(3, &fields("check", "9b1f03aa5c7e2d42", "4000"), b"y"));
     assert!(matches!(client.receive(), Some((3, Reply::Answer(_)))), "only the second is answered");
 }
@@ -114,54 +114,54 @@
 /// telling followed a broken connection.
 #[test]
 fn a_host_that_drains_is_sent_nothing_more() {
-    let bench = Bench::new(&[Act::Serve], 2);
-    let mut client = bench.client();
-    assert_eq!(bench.channel.calls.recv_timeout(support::PATIENCE).as_deref(), Ok("1"));
-    bench.channel.tell(2, "h9", free_address(), "removed");
-    bench.channel.events.send("hang up".into()).expect("channel");
+    let fixture = Fixture::new(&[Behaviour::Serve], 2);
+    let mut client = fixture.client();
+    assert_eq!(fixture.channel.calls.recv_timeout(support::TEST_TIMEOUT).as_deref(), Ok("1"));
+    fixture.channel.tell(2, "h9", free_address(), "removed");
+    fixture.channel.events.send("hang up".into()).expect("channel");
     assert_eq!(
-        bench.channel.calls.recv_timeout(support::PATIENCE).as_deref(),
+        fixture.channel.calls.recv_timeout(support::TEST_TIMEOUT).as_deref(),
         Ok("2"),
         "it resumes where it was"
     );
-    bench.channel.tell(3, "h0", bench.hosts[0], "draining");
+    fixture.channel.tell(3, "h0", fixture.hosts[0], "draining");
     std::thread::sleep(Duration::from_millis(500));
     for number in 0..6 {
         let id = format!("9b1f03aa5c7e2d4{number}");
         client.send(&dispatch(number + 1, &fields("check", &id, "4000"), b"x"));
         assert!(matches!(client.receive(), Some((_, Reply::Answer(_)))));
     }
-    assert!(bench.fleet.sent().iter().all(|sent| sent.worker == "h1"), "{:?}", bench.fleet.sent());
+    assert!(fixture.fleet.sent().iter().all(|sent| sent.worker == "h1"), "{:?}", fixture.fleet.sent());
 }
 
 #[test]
 fn refused_at_once_when_no_host_takes_it() {
-    let bench = Bench::new(&[Act::Refuse], 1);
-    let mut client = bench.client();
+    let fixture = Fixture::new(&[Behaviour::Refuse], 1);
+    let mut client = fixture.client();
     client.send(&dispatch(1, &fields("post", "9b1f03aa5c7e2d41", "3000"), b"x"));
     let reply = client.receive();
     let advice = BTreeMap::from([("cooldown".to_string(), "500".to_string())]);
     assert_eq!(reply, Some((1, Reply::Rejected(advice))));
-    assert_eq!(bench.fleet.sent().len(), 5);
+    assert_eq!(fixture.fleet.sent().len(), 5);
 }
 
 #[test]
 fn sigterm_lets_what_was_taken_end_and_exits_with_0() {
-    let mut bench = Bench::new(&[Act::Hold], 1);
-    let mut client = bench.client();
+    let mut fixture = Fixture::new(&[Behaviour::Hold], 1);
+    let mut client = fixture.client();
     client.send(&dispatch(1, &fields("check", "9b1f03aa5c7e2d41", "4000"), b"x"));
-    until("it is out", || bench.fleet.sent().len() == 1);
-    bench.daemon.signal("TERM");
+    until("it is out", || fixture.fleet.sent().len() == 1);
+    fixture.daemon.signal("TERM");
     // Connections and requests still come for a while, and are taken.
     std::thread::sleep(Duration::from_millis(100));
-    let mut late = bench.client();
+    let mut late = fixture.client();
     late.send(&dispatch(1, &fields("check", "9b1f03aa5c7e2d42", "4000"), b"y"));
     std::thread::sleep(Duration::from_millis(100));
-    bench.fleet.release();
+    fixture.fleet.release();
     assert!(matches!(client.receive(), Some((1, Reply::Answer(_)))));
     assert!(matches!(late.receive(), Some((1, Reply::Answer(_)))));
-    assert_eq!(bench.daemon.exit_code(), Some(0));
-    assert!(bench.daemon.errors().contains("taken=2 "), "{}", bench.daemon.errors());
+    assert_eq!(fixture.daemon.exit_code(), Some(0));
+    assert!(fixture.daemon.errors().contains("taken=2 "), "{}", fixture.daemon.errors());
 }
 
 #[test]
@@ -193,23 +193,23 @@
 /// Guards against news that is lost behind news that can't be read.
 #[test]
 fn an_odd_event_or_entry_hides_no_other() {
-    let bench = Bench::new(&[Act::Serve], 2);
-    let mut client = bench.client();
-    bench.channel.events.send("id: 2\ndata: {not json\n\n".into()).expect("channel");
-    let mut event = nodes(3, false, &[("h8", bench.hosts[0], "up"), ("h0", bench.hosts[0], "draining")]);
+    let fixture = Fixture::new(&[Behaviour::Serve], 2);
+    let mut client = fixture.client();
+    fixture.channel.events.send("id: 2\ndata: {not json\n\n".into()).expect("channel");
+    let mut event = nodes(3, false, &[("h8", fixture.hosts[0], "up"), ("h0", fixture.hosts[0], "draining")]);
     event["nodes"]["endpoints"][0]["address"] = json!("nowhere");
-    bench.channel.events.send(format!("id: 3\ndata: {event}\n\n")).expect("channel");
-    until("the odd entry is named", || bench.daemon.errors().contains("nowhere"));
+    fixture.channel.events.send(format!("id: 3\ndata: {event}\n\n")).expect("channel");
+    until("the odd entry is named", || fixture.daemon.errors().contains("nowhere"));
     std::thread::sleep(Duration::from_millis(200));
     for number in 0..4 {
         let id = format!("9b1f03aa5c7e2d4{number}");
         client.send(&dispatch(number + 1, &fields("check", &id, "4000"), b"x"));
         assert!(matches!(client.receive(), Some((_, Reply::Answer(_)))));
     }
-    assert!(bench.fleet.sent().iter().all(|sent| sent.worker == "h1"), "{:?}", bench.fleet.sent());
-    bench.daemon.signal("USR1");
+    assert!(fixture.fleet.sent().iter().all(|sent| sent.worker == "h1"), "{:?}", fixture.fleet.sent());
+    fixture.daemon.signal("USR1");
     until("they are counted", || {
-        let errors = bench.daemon.errors();
+        let errors = fixture.daemon.errors();
         ["channel_calls=1 ", "channel_odd=2 ", "dials=1 ", "dials_failed=0 "]
             .iter()
             .all(|one| errors.contains(one))
@@ -220,8 +220,8 @@
 /// comes on top of 394 is refused at once instead of taking the process down.
 #[test]
 fn more_requests_than_memory_allows_are_refused() {
-    let bench = Bench::limited(&[Act::Silence], 1, 256, 32);
-    let mut clients: Vec<Client> = (0..13).map(|_| bench.client()).collect();
+    let fixture = Fixture::with_limits(&[Behaviour::NoAnswer], 1, 256, 32);
+    let mut clients: Vec<Client> = (0..13).map(|_| fixture.client()).collect();
     for (at, client) in clients.iter_mut().enumerate() {
         for number in 0..32 {
             let id = format!("{:016x}", at * 100 + number + 1);
@@ -235,7 +235,7 @@
         std::thread::spawn(move || while client.receive().is_some_and(|reply| told.send(reply.1).is_ok()) {});
     }
     for _ in 0..22 {
-        let reply = replies.recv_timeout(support::PATIENCE).expect("refused at once");
+        let reply = replies.recv_timeout(support::TEST_TIMEOUT).expect("refused at once");
         assert!(matches!(&reply, Reply::Rejected(fields) if fields.contains_key("cooldown")), "{reply:?}");
     }
 }
@@ -244,23 +244,23 @@
 /// and stay used to hold them all, and everybody else was never taken up.
 #[test]
 fn who_is_owed_nothing_gives_way_to_newcomers() {
-    let bench = Bench::within(&[Act::Serve], 1, 60);
+    let fixture = Fixture::with_descriptor_limit(&[Behaviour::Serve], 1, 60);
     let mut stayers = Vec::new();
     for number in 0..30 {
-        let mut stayer = bench.client();
+        let mut stayer = fixture.client();
         let id = format!("{:016x}", number + 1);
         stayer.send(&dispatch(1, &fields("check", &id, "4000"), b"x"));
         assert!(matches!(stayer.receive(), Some((1, Reply::Answer(_)))), "client {number} is taken up");
         stayers.push(stayer);
     }
-    let mut silent: Vec<Client> = (0..60).map(|_| bench.client()).collect();
+    let mut silent: Vec<Client> = (0..60).map(|_| fixture.client()).collect();
     let half = dispatch(1, &fields("check", "9b1f03aa5c7e2d41", "4000"), b"x");
-    let mut halves: Vec<Client> = (0..20).map(|_| bench.client()).collect();
+    let mut halves: Vec<Client> = (0..20).map(|_| fixture.client()).collect();
     halves.iter_mut().for_each(|client| _ = client.socket.write_all(&half[..half.len() / 2]));
-    let mut usual = bench.client();
+    let mut usual = fixture.client();
     usual.send(&dispatch(1, &fields("check", "9b1f03aa5c7e2d42", "4000"), b"x"));
     let reply = usual.receive();
-    assert!(matches!(reply, Some((1, Reply::Answer(_)))), "{reply:?} {}", bench.daemon.errors());
+    assert!(matches!(reply, Some((1, Reply::Answer(_)))), "{reply:?} {}", fixture.daemon.errors());
     // And all of them are closed within a few seconds, crowd or none.
     for client in silent.iter_mut().chain(&mut halves) {
         client.socket.set_read_timeout(Some(Duration::from_secs(3))).expect("set");
@@ -273,42 +273,42 @@
 /// other's.
 #[test]
 fn two_requests_under_one_number_end_their_connection() {
-    let bench = Bench::new(&[Act::Hold], 1);
-    let mut client = bench.client();
+    let fixture = Fixture::new(&[Behaviour::Hold], 1);
+    let mut client = fixture.client();
     client.send(&dispatch(1, &fields("check", "9b1f03aa5c7e2d41", "4000"), b"x"));
     client.send(&dispatch(1, &fields("check", "9b1f03aa5c7e2d42", "4000"), b"y"));
     assert_eq!(client.receive(), None);
-    bench.fleet.release();
+    fixture.fleet.release();
 }
 
 /// Guards a reload: SIGHUP used to end the process. It must go on at the new channel's address from the
 /// event it last heard, leave open requests alone, and keep to the old file where the new one is no use.
 #[test]
 fn sighup_moves_to_the_new_channel_and_keeps_what_is_open() {
-    let bench = Bench::new(&[Act::Hold, Act::Serve], 2);
-    let mut client = bench.client();
+    let fixture = Fixture::new(&[Behaviour::Hold, Behaviour::Serve], 2);
+    let mut client = fixture.client();
     client.send(&dispatch(1, &fields("check", "9b1f03aa5c7e2d41", "4000"), b"x"));
-    until("it is out", || bench.fleet.sent().len() == 1);
-    let held_at = bench.fleet.sent()[0].worker.clone();
-    assert_eq!(bench.channel.calls.recv_timeout(support::PATIENCE).as_deref(), Ok("1"));
-    bench.channel.tell(2, "h9", free_address(), "removed");
+    until("it is out", || fixture.fleet.sent().len() == 1);
+    let held_at = fixture.fleet.sent()[0].worker.clone();
+    assert_eq!(fixture.channel.calls.recv_timeout(support::TEST_TIMEOUT).as_deref(), Ok("1"));
+    fixture.channel.tell(2, "h9", free_address(), "removed");
     std::thread::sleep(Duration::from_millis(100));
-    bench.folder.write("config.json", "{\"channel\": 1}");
-    bench.daemon.signal("HUP");
-    until("the new file is reported", || bench.daemon.errors().contains("the old configuration is kept"));
+    fixture.folder.write("config.json", "{\"channel\": 1}");
+    fixture.daemon.signal("HUP");
+    until("the new file is reported", || fixture.daemon.errors().contains("the old configuration is kept"));
     let next = Channel::new();
-    let mut config = bench.config.clone();
+    let mut config = fixture.config.clone();
     config["channel"] = json!(next.address.to_string());
-    bench.folder.write("config.json", &config.to_string());
-    bench.daemon.signal("HUP");
-    assert_eq!(next.calls.recv_timeout(support::PATIENCE).as_deref(), Ok("2"), "the cursor is kept");
+    fixture.folder.write("config.json", &config.to_string());
+    fixture.daemon.signal("HUP");
+    assert_eq!(next.calls.recv_timeout(support::TEST_TIMEOUT).as_deref(), Ok("2"), "the cursor is kept");
     for number in [0, 1] {
         let name = format!("h{number}");
         if name != held_at {
-            next.tell(3, &name, bench.hosts[number], "draining");
+            next.tell(3, &name, fixture.hosts[number], "draining");
         }
     }
-    bench.fleet.release();
+    fixture.fleet.release();
     assert!(matches!(client.receive(), Some((1, Reply::Answer(_)))), "open requests are left alone");
     std::thread::sleep(Duration::from_millis(200));
     for number in 2..6 {
@@ -316,44 +316,44 @@
         client.send(&dispatch(number, &fields("check", &id, "4000"), b"x"));
         assert!(matches!(client.receive(), Some((_, Reply::Answer(_)))));
     }
-    assert!(bench.fleet.sent().iter().all(|sent| sent.worker == held_at), "news of the new channel counts");
+    assert!(fixture.fleet.sent().iter().all(|sent| sent.worker == held_at), "news of the new channel counts");
 }
 
 /// Guards the times of a planned restart: what comes late is refused at once, and what would outlast the
 /// process is ended before SIGKILL can find it unanswered.
 #[test]
 fn sigterm_ends_what_would_outlast_the_process() {
-    let mut bench = Bench::new(&[Act::Silence], 1);
-    let mut client = bench.client();
+    let mut fixture = Fixture::new(&[Behaviour::NoAnswer], 1);
+    let mut client = fixture.client();
     client.send(&dispatch(1, &fields("check", "9b1f03aa5c7e2d41", "4000"), b"x"));
-    until("it is out", || bench.fleet.sent().len() == 1);
+    until("it is out", || fixture.fleet.sent().len() == 1);
     let start = Instant::now();
-    bench.daemon.signal("TERM");
+    fixture.daemon.signal("TERM");
     std::thread::sleep(Duration::from_millis(800));
     client.send(&dispatch(2, &fields("check", "9b1f03aa5c7e2d42", "4000"), b"y"));
     assert!(matches!(client.receive(), Some((2, Reply::Rejected(_)))), "too late to be taken");
     assert_eq!(client.receive(), Some((1, Reply::Crashed)));
     assert!(start.elapsed() < Duration::from_millis(3700), "{:?}", start.elapsed());
-    assert_eq!(bench.daemon.exit_code(), Some(0));
+    assert_eq!(fixture.daemon.exit_code(), Some(0));
 }
 
 /// Guards against an answer that comes twice: its second copy must not settle the next attempt, which goes
 /// out under the same id.
 #[test]
 fn a_second_copy_settles_no_later_attempt() {
-    let bench = Bench::new(&[Act::MissTwice, Act::Late], 1);
-    let mut client = bench.client();
+    let fixture = Fixture::new(&[Behaviour::MissTwice, Behaviour::DelayedServe], 1);
+    let mut client = fixture.client();
     client.send(&dispatch(1, &fields("check", "9b1f03aa5c7e2d41", "4000"), b"x"));
     assert_eq!(client.receive(), Some((1, Reply::Answer(b"done: x".to_vec()))));
-    assert_eq!(bench.fleet.sent().len(), 2);
+    assert_eq!(fixture.fleet.sent().len(), 2);
 }
 
 /// Guards memory and the connection's end against messages that say they are huge.
 #[test]
 fn a_message_without_end_is_not_waited_for() {
-    let bench = Bench::new(&[Act::Serve], 1);
+    let fixture = Fixture::new(&[Behaviour::Serve], 1);
     for size in [i32::MAX, -1, 70_000] {
-        let mut client = bench.client();
+        let mut client = fixture.client();
         let _ = client.socket.write_all(&size.to_be_bytes());
         assert_eq!(client.receive(), None, "{size}");
     }
@@ -363,13 +363,24 @@
 /// worker's connection that the answer came on wait for it.
 #[test]
 fn a_long_answer_that_is_read_slowly_holds_up_nobody_else() {
-    let bench = Bench::limited(&[Act::Long, Act::Long, Act::Long, Act::Long, Act::Serve], 1, 256, 32);
-    let mut slow = bench.client();
+    let fixture = Fixture::with_limits(
+        &[
+            Behaviour::LongAnswer,
+            Behaviour::LongAnswer,
+            Behaviour::LongAnswer,
+            Behaviour::LongAnswer,
+            Behaviour::Serve,
+        ],
+        1,
+        256,
+        32,
+    );
+    let mut slow = fixture.client();
     for number in 1..=4 {
         slow.send(&dispatch(number, &fields("check", &format!("{number:016x}"), "4000"), b"x"));
     }
-    until("all are out", || bench.fleet.sent().len() == 4);
-    let mut other = bench.client();
+    until("all are out", || fixture.fleet.sent().len() == 4);
+    let mut other = fixture.client();
     other.send(&dispatch(1, &fields("check", "00000000000000aa", "4000"), b"y"));
     assert_eq!(other.receive(), Some((1, Reply::Answer(b"done: y".to_vec()))));
     // Longer in all than a message may be left untouched.
@@ -381,17 +392,17 @@
         assert!(size > 0, "ended after {read} bytes");
         read += size;
     }
-    bench.daemon.signal("USR1");
-    until("counters are logged", || bench.daemon.errors().contains("served=5 "));
-    assert!(bench.daemon.errors().contains("dials=1 "), "{}", bench.daemon.errors());
+    fixture.daemon.signal("USR1");
+    until("counters are logged", || fixture.daemon.errors().contains("served=5 "));
+    assert!(fixture.daemon.errors().contains("dials=1 "), "{}", fixture.daemon.errors());
 }
 
 /// Guards the platform's memory against names that clients make up: what has been learnt of them stays under
 /// its cap, the longest unused goes, and every request is answered.
 #[test]
 fn ever_new_model_names_stay_within_what_may_be_learnt() {
-    let bench = Bench::limited(&[Act::Serve], 2, 1024, 14);
-    let mut client = bench.client();
+    let fixture = Fixture::with_limits(&[Behaviour::Serve], 2, 1024, 14);
+    let mut client = fixture.client();
     for number in 0..1500i32 {
         let (id, model) = (format!("{number:016x}"), format!("{:016x}", 0x1000 + number));
         let mut fields = fields("check", &id, "3000");
@@ -399,9 +410,9 @@
         client.send(&dispatch(number, &fields, b"x"));
         assert_eq!(client.receive(), Some((number, Reply::Answer(b"done: x".to_vec()))));
     }
-    bench.daemon.signal("USR1");
-    until("accounts are logged", || bench.daemon.errors().contains("purpose=\"timers\""));
-    let log = bench.daemon.errors();
+    fixture.daemon.signal("USR1");
+    until("accounts are logged", || fixture.daemon.errors().contains("purpose=\"timers\""));
+    let log = fixture.daemon.errors();
     let learnt = log.lines().find(|line| line.contains("purpose=\"learnt\"")).expect("a line");
     let figure = |key: &str| -> usize {
         let text = learnt.split(&format!(" {key}=")).nth(1).and_then(|rest| rest.split(' ').next());
--- a/crates/node/tests/ration.rs
+++ b/crates/node/tests/ration.rs
@@ -3,8 +3,8 @@
 mod support;
 
 use std::time::{Duration, Instant};
-use support::platform::{dispatch, fields, Bench};
-use support::workers::Act;
+use support::platform::{dispatch, fields, Fixture};
+use support::workers::Behaviour;
 
 /// The rule's window, what is always allowed in it, and what each request adds.
 const WINDOW: Duration = Duration::from_secs(2);
@@ -25,7 +25,7 @@
 /// lost or come in bunches; clients that send one request a hundred times, or a name of their own each time.
 #[test]
 fn orders_keep_the_ration_where_the_rule_counts_them() {
-    let bench = Bench::changed(&[Act::Miss], 6, 1024, 192, |settings| {
+    let fixture = Fixture::with_settings(&[Behaviour::Miss], 6, 1024, 192, |settings| {
         settings["specifics"]["notLoaded"] = "miss".into();
         settings["specifics"]["placementCalls"] = true.into();
         settings["specifics"]["loadFloor"] = FREE.into();
@@ -33,11 +33,11 @@
         settings["specifics"]["loadSpanMs"] = (WINDOW.as_millis() as u64).into();
         settings["prices"] = serde_json::json!({"probe": 0.01, "crossZone": 0.0});
     });
-    bench.fleet.rough();
-    let mut good = bench.client();
+    fixture.fleet.make_connections_unreliable();
+    let mut good = fixture.client();
     let mut drain = good.socket.try_clone().expect("cloned");
     std::thread::spawn(move || std::io::copy(&mut drain, &mut std::io::sink()));
-    let address = bench.daemon.address;
+    let address = fixture.daemon.address;
     let rude = std::thread::spawn(move || {
         for round in 0..40u64 {
             let mut client = support::platform::Client::new(address);
@@ -63,7 +63,7 @@
         std::thread::sleep(PAUSE);
     }
     rude.join().expect("no panic");
-    let ordered = bench.fleet.ordered();
+    let ordered = fixture.fleet.load_orders();
     assert!(ordered.len() > 40, "the ration is used: {}", ordered.len());
     let within = |times: &[Instant], at: &Instant| {
         times.iter().filter(|time| *time <= at && at.duration_since(**time) <= WINDOW).count() as f64
--- a/crates/node/tests/slow_start.rs
+++ b/crates/node/tests/slow_start.rs
@@ -4,10 +4,10 @@
 
 use serde_json::json;
 use std::time::Duration;
-use support::counting::{CountingWorker, Processes, Ramp};
+use support::counting::{CountingWorker, Processes, WarmupSettings};
 use support::faults::Faults;
 
-const RAMP: Ramp = Ramp {
+const RAMP: WarmupSettings = WarmupSettings {
     from: 0.25,
     span: Duration::from_secs(8),
     multiple: 2.0,
--- a/crates/node/tests/styles.rs
+++ b/crates/node/tests/styles.rs
@@ -4,9 +4,9 @@
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
-use support::late::LateListener;
-use support::workers::{Act, Fleet, Sent, Within};
-use support::{ask, receive, start, until, Daemon, Folder, Response, CLASSES, PATIENCE};
+use support::late::SlowAcceptListener;
+use support::workers::{AnswerOffset, Behaviour, Fleet, Sent};
+use support::{ask, receive, start, until, Daemon, Folder, Response, CLASSES, TEST_TIMEOUT};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Client {
@@ -31,7 +31,7 @@
 ];
 
 /// A started daemon with two workers in racks of their own.
-struct Bench {
+struct Fixture {
     client: Client,
     daemon: Daemon,
     fleet: Fleet,
@@ -47,13 +47,18 @@
     body: String,
 }
 
-impl Bench {
-    fn new(style: (Client, Server), script: &[Act], cells: [u32; 2]) -> Self {
-        Self::limited(style, script, cells, "")
+impl Fixture {
+    fn new(style: (Client, Server), script: &[Behaviour], cells: [u32; 2]) -> Self {
+        Self::with_limits(style, script, cells, "")
     }
 
     /// The same with limits of the test's own.
-    fn limited((client, server): (Client, Server), script: &[Act], cells: [u32; 2], limits: &str) -> Self {
+    fn with_limits(
+        (client, server): (Client, Server),
+        script: &[Behaviour],
+        cells: [u32; 2],
+        limits: &str,
+    ) -> Self {
         let fleet = Fleet::new(script);
         let worker = |name: &str| match server {
             Server::Frames => fleet.frames(name).to_string(),
@@ -77,7 +82,7 @@
             ),
         );
         let daemon = Daemon::serve(&deploy);
-        Bench { client, daemon, fleet, addresses, folder }
+        Fixture { client, daemon, fleet, addresses, folder }
     }
 
     fn call(&self, function: &str, deadline_ms: u32) -> End {
@@ -160,11 +165,11 @@
 
 /// Plays a scenario in all styles and gives what all of them came to.
 fn in_all_styles<T: PartialEq + std::fmt::Debug>(
-    script: &[Act],
+    script: &[Behaviour],
     cells: [u32; 2],
-    play: impl Fn(&Bench) -> T,
+    play: impl Fn(&Fixture) -> T,
 ) -> T {
-    let mut ends = STYLES.iter().map(|style| (style, play(&Bench::new(*style, script, cells))));
+    let mut ends = STYLES.iter().map(|style| (style, play(&Fixture::new(*style, script, cells))));
     let (_, first) = ends.next().expect("styles");
     for (style, end) in ends {
         assert_eq!(end, first, "{style:?} comes to something else than {:?}", STYLES[0]);
@@ -172,17 +177,17 @@
     first
 }
 
-fn one_call(function: &'static str) -> impl Fn(&Bench) -> (End, Vec<String>) {
-    move |bench| {
-        let end = bench.call(function, 8000);
-        (end, bench.workers_sent_to())
+fn one_call(function: &'static str) -> impl Fn(&Fixture) -> (End, Vec<String>) {
+    move |fixture| {
+        let end = fixture.call(function, 8000);
+        (end, fixture.workers_sent_to())
     }
 }
 
 #[test]
 fn served() {
     for function in ["check", "post", "once"] {
-        let (end, sent) = in_all_styles(&[Act::Serve], [0, 1], one_call(function));
+        let (end, sent) = in_all_styles(&[Behaviour::Serve], [0, 1], one_call(function));
         assert_eq!((end.status, end.body.as_str(), sent.len()), (200, "done: input", 1));
     }
 }
@@ -192,7 +197,8 @@
 #[test]
 fn an_answer_longer_than_is_allowed_has_run_all_the_same() {
     for function in ["check", "once"] {
-        let (end, sent) = in_all_styles(&[Act::Long, Act::Serve], [0, 1], one_call(function));
+        let (end, sent) =
+            in_all_styles(&[Behaviour::LongAnswer, Behaviour::Serve], [0, 1], one_call(function));
         let expected = if function == "check" { (200, 2) } else { (502, 1) };
         assert_eq!((end.status, sent.len()), expected, "{function}");
     }
@@ -200,9 +206,9 @@
 
 #[test]
 fn a_refusal_or_a_miss_proves_that_nothing_ran_so_any_class_goes_on() {
-    for act in [Act::Refuse, Act::Miss] {
+    for act in [Behaviour::Refuse, Behaviour::Miss] {
         for function in ["check", "post", "once"] {
-            let (end, sent) = in_all_styles(&[act, Act::Serve], [0, 1], one_call(function));
+            let (end, sent) = in_all_styles(&[act, Behaviour::Serve], [0, 1], one_call(function));
             assert_eq!((end.status, sent.len()), (200, 2), "{act:?} {function}");
         }
     }
@@ -210,19 +216,19 @@
 
 #[test]
 fn refused_by_all_until_the_attempts_are_used_up() {
-    let (end, sent) = in_all_styles(&[Act::Refuse], [0, 1], one_call("post"));
+    let (end, sent) = in_all_styles(&[Behaviour::Refuse], [0, 1], one_call("post"));
     assert_eq!((end.status, end.may_have_run.as_deref(), sent.len()), (503, Some("false"), 5));
 }
 
 /// Guards the class of a call: what may have run goes out again only where the class allows it.
 #[test]
 fn a_late_reset_is_repeated_only_as_the_class_allows() {
-    let (end, sent) = in_all_styles(&[Act::Reset, Act::Serve], [0, 1], one_call("check"));
+    let (end, sent) = in_all_styles(&[Behaviour::Reset, Behaviour::Serve], [0, 1], one_call("check"));
     assert_eq!((end.status, sent.len()), (200, 2));
-    let (end, sent) = in_all_styles(&[Act::Reset, Act::Serve], [0, 1], one_call("post"));
+    let (end, sent) = in_all_styles(&[Behaviour::Reset, Behaviour::Serve], [0, 1], one_call("post"));
     assert!(sent.iter().all(|worker| *worker == sent[0]), "a repeat left its rack: {sent:?}");
     assert_eq!((end.status, sent.len()), (200, 2));
-    let (end, sent) = in_all_styles(&[Act::Reset, Act::Serve], [0, 1], one_call("once"));
+    let (end, sent) = in_all_styles(&[Behaviour::Reset, Behaviour::Serve], [0, 1], one_call("once"));
     assert_eq!((end.status, end.may_have_run.as_deref(), sent.len()), (502, Some("true"), 1));
 }
 
@@ -230,35 +236,35 @@
 /// call did not run, and neither a length nor a half holds the call until its deadline.
 #[test]
 fn a_spoilt_answer_is_no_answer_and_the_call_may_have_run() {
-    for act in [Act::Garbled, Act::Cut, Act::Huge] {
-        let (end, sent) = in_all_styles(&[act, Act::Serve], [0, 1], one_call("check"));
+    for act in [Behaviour::CorruptAnswer, Behaviour::TruncatedAnswer, Behaviour::OversizedAnswer] {
+        let (end, sent) = in_all_styles(&[act, Behaviour::Serve], [0, 1], one_call("check"));
         assert_eq!((end.status, end.body.as_str(), sent.len()), (200, "done: input", 2), "{act:?}");
-        let (end, sent) = in_all_styles(&[act, Act::Serve], [0, 1], one_call("post"));
+        let (end, sent) = in_all_styles(&[act, Behaviour::Serve], [0, 1], one_call("post"));
         assert!(sent.iter().all(|worker| *worker == sent[0]), "a repeat left its rack: {sent:?}");
         assert_eq!((end.status, sent.len()), (200, 2), "{act:?}");
-        let (end, sent) = in_all_styles(&[act, Act::Serve], [0, 1], one_call("once"));
+        let (end, sent) = in_all_styles(&[act, Behaviour::Serve], [0, 1], one_call("once"));
         assert_eq!((end.status, end.may_have_run.as_deref(), sent.len()), (502, Some("true"), 1), "{act:?}");
     }
 }
 
 #[test]
 fn an_error_may_have_run() {
-    let (end, sent) = in_all_styles(&[Act::Error, Act::Serve], [0, 1], one_call("once"));
+    let (end, sent) = in_all_styles(&[Behaviour::Error, Behaviour::Serve], [0, 1], one_call("once"));
     assert_eq!((end.status, end.may_have_run.as_deref(), sent.len()), (502, Some("true"), 1));
 }
 
 #[test]
 fn an_early_reset_never_ran_so_even_unsafe_calls_go_on() {
     for function in ["check", "post", "once"] {
-        let (end, sent) = in_all_styles(&[Act::Serve], [0, 1], |bench| {
+        let (end, sent) = in_all_styles(&[Behaviour::Serve], [0, 1], |fixture| {
             // Nobody listens on port 1: the connection is reset before a byte of the call is out.
-            for (name, address) in [("w1", "127.0.0.1:1"), ("w2", &bench.addresses[1])] {
+            for (name, address) in [("w1", "127.0.0.1:1"), ("w2", &fixture.addresses[1])] {
                 let body = format!("{{\"address\":\"{address}\",\"cell\":0}}");
                 let put =
-                    ask(bench.daemon.address, "PUT", &format!("/v1/workers/{name}"), &[], body.as_bytes());
+                    ask(fixture.daemon.address, "PUT", &format!("/v1/workers/{name}"), &[], body.as_bytes());
                 assert_eq!(put.status, 204);
             }
-            one_call(function)(bench)
+            one_call(function)(fixture)
         });
         assert_eq!((end.status, sent), (200, vec!["w2".to_string()]), "{function}");
     }
@@ -268,9 +274,9 @@
 #[test]
 fn silence_ends_at_the_deadline() {
     for function in ["check", "post", "once"] {
-        let (end, sent) = in_all_styles(&[Act::Silence], [0, 1], |bench| {
-            let end = bench.call(function, 1000);
-            (end, bench.workers_sent_to().len())
+        let (end, sent) = in_all_styles(&[Behaviour::NoAnswer], [0, 1], |fixture| {
+            let end = fixture.call(function, 1000);
+            (end, fixture.workers_sent_to().len())
         });
         assert_eq!((end.status, end.may_have_run.as_deref(), sent), (504, Some("true"), 1), "{function}");
     }
@@ -279,15 +285,15 @@
 #[test]
 fn a_draining_worker_is_sent_nothing_more() {
     for drained in [0, 1] {
-        let sent = in_all_styles(&[Act::Serve], [0, 1], |bench| {
+        let sent = in_all_styles(&[Behaviour::Serve], [0, 1], |fixture| {
             let name = ["w1", "w2"][drained];
-            let body = format!("{{\"address\":\"{}\",\"state\":\"draining\"}}", bench.addresses[drained]);
+            let body = format!("{{\"address\":\"{}\",\"state\":\"draining\"}}", fixture.addresses[drained]);
             let path = format!("/v1/workers/{name}");
-            assert_eq!(ask(bench.daemon.address, "PUT", &path, &[], body.as_bytes()).status, 204);
+            assert_eq!(ask(fixture.daemon.address, "PUT", &path, &[], body.as_bytes()).status, 204);
             for number in 0..3 {
-                assert_eq!(bench.call_with("post", 8000, &format!("key-{number}")).status, 200);
+                assert_eq!(fixture.call_with("post", 8000, &format!("key-{number}")).status, 200);
             }
-            bench.workers_sent_to()
+            fixture.workers_sent_to()
         });
         assert_eq!(sent, vec![["w2", "w1"][drained].to_string(); 3]);
     }
@@ -295,9 +301,9 @@
 
 #[test]
 fn a_repeated_key_is_answered_without_another_send() {
-    let (ends, sends, runs) = in_all_styles(&[Act::Serve], [0, 1], |bench| {
-        let ends = (0..3).map(|_| bench.call("post", 8000)).collect::<Vec<_>>();
-        (ends, bench.fleet.sent().len(), bench.fleet.runs())
+    let (ends, sends, runs) = in_all_styles(&[Behaviour::Serve], [0, 1], |fixture| {
+        let ends = (0..3).map(|_| fixture.call("post", 8000)).collect::<Vec<_>>();
+        (ends, fixture.fleet.sent().len(), fixture.fleet.runs())
     });
     assert!(ends.iter().all(|end| *end == ends[0] && end.status == 200), "{ends:?}");
     assert_eq!((sends, runs), (1, 1));
@@ -307,67 +313,67 @@
 #[test]
 fn a_deferred_post_whose_client_vanishes_reaches_one_final_answer() {
     for server in [Server::Held, Server::Deferred, Server::Frames] {
-        let bench = Bench::new((Client::Deferred, server), &[Act::Hold], [0, 1]);
+        let fixture = Fixture::new((Client::Deferred, server), &[Behaviour::Hold], [0, 1]);
         let headers = [("Prefer", "respond-async"), ("Idempotency-Key", "gone")];
         let socket =
-            start(bench.daemon.address, "POST", "/v1/functions/post/invocations", &headers, b"input");
-        until("the call is out", || bench.fleet.sent().len() == 1);
+            start(fixture.daemon.address, "POST", "/v1/functions/post/invocations", &headers, b"input");
+        until("the call is out", || fixture.fleet.sent().len() == 1);
         drop(socket);
-        bench.fleet.release();
+        fixture.fleet.release();
         // The client's successor comes with the same key and finds the one answer.
-        let end = bench.call_with("post", 8000, "gone");
+        let end = fixture.call_with("post", 8000, "gone");
         assert_eq!((end.status, end.body.as_str()), (200, "done: input"), "{server:?}");
-        assert_eq!((bench.fleet.sent().len(), bench.fleet.runs()), (1, 1), "{server:?}");
+        assert_eq!((fixture.fleet.sent().len(), fixture.fleet.runs()), (1, 1), "{server:?}");
     }
 }
 
 #[test]
 fn a_synchronous_call_whose_client_vanishes_is_called_off() {
     for server in [Server::Deferred, Server::Frames] {
-        let bench = Bench::new((Client::Synchronous, server), &[Act::Silence], [0, 1]);
-        let socket = start(bench.daemon.address, "POST", "/v1/functions/check/invocations", &[], b"input");
-        until("the call is out", || bench.fleet.sent().len() == 1);
+        let fixture = Fixture::new((Client::Synchronous, server), &[Behaviour::NoAnswer], [0, 1]);
+        let socket = start(fixture.daemon.address, "POST", "/v1/functions/check/invocations", &[], b"input");
+        until("the call is out", || fixture.fleet.sent().len() == 1);
         drop(socket);
-        until("it is called off", || bench.fleet.called_off() == 1);
+        until("it is called off", || fixture.fleet.cancelled() == 1);
     }
 }
 
 #[test]
 fn a_deferred_call_can_be_withdrawn() {
-    let bench = Bench::new((Client::Deferred, Server::Frames), &[Act::Silence], [0, 1]);
+    let fixture = Fixture::new((Client::Deferred, Server::Frames), &[Behaviour::NoAnswer], [0, 1]);
     let headers = [("Prefer", "respond-async"), ("Idempotency-Key", "k")];
-    let accepted = ask(bench.daemon.address, "POST", "/v1/functions/post/invocations", &headers, b"input");
+    let accepted = ask(fixture.daemon.address, "POST", "/v1/functions/post/invocations", &headers, b"input");
     let location = accepted.header("location").expect("location").to_string();
-    until("the call is out", || bench.fleet.sent().len() == 1);
-    assert_eq!(ask(bench.daemon.address, "GET", &location, &[], b"").status, 202);
-    assert_eq!(ask(bench.daemon.address, "DELETE", &location, &[], b"").status, 204);
-    assert_eq!(ask(bench.daemon.address, "GET", &location, &[], b"").status, 410);
-    assert_eq!(ask(bench.daemon.address, "DELETE", &location, &[], b"").status, 204);
-    until("it is called off", || bench.fleet.called_off() == 1);
+    until("the call is out", || fixture.fleet.sent().len() == 1);
+    assert_eq!(ask(fixture.daemon.address, "GET", &location, &[], b"").status, 202);
+    assert_eq!(ask(fixture.daemon.address, "DELETE", &location, &[], b"").status, 204);
+    assert_eq!(ask(fixture.daemon.address, "GET", &location, &[], b"").status, 410);
+    assert_eq!(ask(fixture.daemon.address, "DELETE", &location, &[], b"").status, 204);
+    until("it is called off", || fixture.fleet.cancelled() == 1);
 }
 
 /// Guards calls that meet a full account: they are turned away before anything is sent, in every style alike,
 /// and leave nothing behind that would keep the next try with their key from being the first.
 #[test]
 fn where_there_is_no_room_nothing_is_sent_and_the_key_stays_free() {
-    let (refused, served, sent) = in_all_styles(&[Act::Hold], [0, 1], |bench| {
-        let path = bench.folder.0.join("invoke.toml");
+    let (refused, served, sent) = in_all_styles(&[Behaviour::Hold], [0, 1], |fixture| {
+        let path = fixture.folder.0.join("invoke.toml");
         let file = std::fs::read_to_string(&path).expect("written before");
-        bench.folder.write("invoke.toml", &format!("{file}[memory]\nshares = {{ calls = 0.6 }}\n"));
-        bench.daemon.signal("HUP");
-        until("it is reloaded", || bench.daemon.errors().contains("reloaded"));
+        fixture.folder.write("invoke.toml", &format!("{file}[memory]\nshares = {{ calls = 0.6 }}\n"));
+        fixture.daemon.signal("HUP");
+        until("it is reloaded", || fixture.daemon.errors().contains("reloaded"));
         let path = "/v1/functions/check/invocations";
-        let open: Vec<_> = (0..40).map(|_| start(bench.daemon.address, "POST", path, &[], b"x")).collect();
-        let status = || ask(bench.daemon.address, "GET", "/v1/status", &[], b"").json();
+        let open: Vec<_> = (0..40).map(|_| start(fixture.daemon.address, "POST", path, &[], b"x")).collect();
+        let status = || ask(fixture.daemon.address, "GET", "/v1/status", &[], b"").json();
         until("calls are turned away", || status()["counters"]["turned_away"].as_u64() > Some(0));
-        let refused = bench.call_with("post", 8000, "late");
+        let refused = fixture.call_with("post", 8000, "late");
         let sent_late =
-            || bench.fleet.sent().iter().filter(|sent| sent.key.as_deref() == Some("late")).count();
+            || fixture.fleet.sent().iter().filter(|sent| sent.key.as_deref() == Some("late")).count();
         assert_eq!(sent_late(), 0);
-        bench.fleet.release();
+        fixture.fleet.release();
         until("all has ended", || status()["owed"] == 0);
         drop(open);
-        let served = bench.call_with("post", 8000, "late");
+        let served = fixture.call_with("post", 8000, "late");
         (refused, served, sent_late())
     });
     assert_eq!((refused.status, refused.may_have_run.as_deref()), (503, Some("false")));
@@ -377,11 +383,11 @@
 /// Guards the boundaries of an answer: wherever it breaks off, the call may have run.
 #[test]
 fn an_answer_that_breaks_off_is_no_proof_that_nothing_ran() {
-    for within in Within::ALL {
-        let act = Act::Breaks(within);
-        let (end, sent) = in_all_styles(&[act, Act::Serve], [0, 1], one_call("check"));
+    for within in AnswerOffset::ALL {
+        let act = Behaviour::DisconnectAt(within);
+        let (end, sent) = in_all_styles(&[act, Behaviour::Serve], [0, 1], one_call("check"));
         assert_eq!((end.status, end.body.as_str(), sent.len()), (200, "done: input", 2), "{within:?}");
-        let (end, sent) = in_all_styles(&[act, Act::Serve], [0, 1], one_call("once"));
+        let (end, sent) = in_all_styles(&[act, Behaviour::Serve], [0, 1], one_call("once"));
         let told = (end.status, end.may_have_run.as_deref(), sent.len());
         assert_eq!(told, (502, Some("true"), 1), "{within:?}");
     }
@@ -389,7 +395,7 @@
 
 #[test]
 fn an_answer_that_comes_a_byte_at_a_time_is_served() {
-    let (end, sent) = in_all_styles(&[Act::Bytewise], [0, 1], one_call("once"));
+    let (end, sent) = in_all_styles(&[Behaviour::ServeBytewise], [0, 1], one_call("once"));
     assert_eq!((end.status, end.body.as_str(), sent.len()), (200, "done: input", 1));
 }
 
@@ -398,15 +404,15 @@
 /// Its key used to be free at once.
 #[test]
 fn a_key_that_may_have_run_stays_taken_however_its_call_ended() {
-    let script = [Act::Reset, Act::Refuse];
-    let (first, again, sent) = in_all_styles(&script, [0, 0], |bench| {
-        let path = bench.folder.0.join("invoke.toml");
+    let script = [Behaviour::Reset, Behaviour::Refuse];
+    let (first, again, sent) = in_all_styles(&script, [0, 0], |fixture| {
+        let path = fixture.folder.0.join("invoke.toml");
         let file = std::fs::read_to_string(&path).expect("written before");
         let file = file.replace("dedup_scope = \"cell\"", "dedup_scope = \"all\"");
-        let daemon = Daemon::serve(&bench.folder.write("all.toml", &file.replace("data\"", "other\"")));
-        let ends = [0, 1].map(|_| bench.call_at(daemon.address, "post", 8000, "key-1"));
+        let daemon = Daemon::serve(&fixture.folder.write("all.toml", &file.replace("data\"", "other\"")));
+        let ends = [0, 1].map(|_| fixture.call_at(daemon.address, "post", 8000, "key-1"));
         let [first, again] = ends;
-        (first, again, bench.fleet.sent().len())
+        (first, again, fixture.fleet.sent().len())
     });
     assert_eq!((first.status, first.may_have_run.as_deref(), sent), (502, Some("true"), 5));
     assert_eq!(again, first, "not sent again");
@@ -415,20 +421,20 @@
 /// Guards the window of a key at the front: within it the repeat is answered, behind it it is a call of its own.
 #[test]
 fn a_key_comes_again_just_before_and_just_after_its_window() {
-    let (before, after, sends) = in_all_styles(&[Act::Serve], [0, 0], |bench| {
-        let path = bench.folder.0.join("invoke.toml");
+    let (before, after, sends) = in_all_styles(&[Behaviour::Serve], [0, 0], |fixture| {
+        let path = fixture.folder.0.join("invoke.toml");
         let file = std::fs::read_to_string(&path).expect("written before").replace("data\"", "other\"");
         let file = file.replace("dedup_window_ms = 20000", "dedup_window_ms = 1500");
-        let daemon = Daemon::serve(&bench.folder.write("short.toml", &file));
-        let call = || bench.call_at(daemon.address, "post", 1000, "key-1");
+        let daemon = Daemon::serve(&fixture.folder.write("short.toml", &file));
+        let call = || fixture.call_at(daemon.address, "post", 1000, "key-1");
         let first = call();
         let sent = Instant::now();
         assert_eq!(first.status, 200);
         // A call's time and its window after it was taken the key is free again.
         std::thread::sleep(Duration::from_millis(1800).saturating_sub(sent.elapsed()));
-        let before = (call(), bench.fleet.sent().len());
+        let before = (call(), fixture.fleet.sent().len());
         std::thread::sleep(Duration::from_millis(2600).saturating_sub(sent.elapsed()));
-        let after = (call(), bench.fleet.sent().len());
+        let after = (call(), fixture.fleet.sent().len());
         (before.0 == first, after.0 == first, [before.1, after.1])
     });
     assert!(before && after);
@@ -442,35 +448,40 @@
 #[test]
 fn who_left_while_no_worker_took_work_is_not_sent_on() {
     for style in STYLES {
-        let bench = Bench::new(style, &[Act::Serve], [0, 0]);
-        bench.set_both("draining");
-        let client = bench.start("check");
-        until("it is taken", || bench.counted("taken") == 1);
-        bench.leave(client);
-        bench.set_both("up");
-        assert_eq!(bench.call("check", 8000).status, 200, "{style:?}");
+        let fixture = Fixture::new(style, &[Behaviour::Serve], [0, 0]);
+        fixture.set_both("draining");
+        let client = fixture.start("check");
+        until("it is taken", || fixture.counted("taken") == 1);
+        fixture.leave(client);
+        fixture.set_both("up");
+        assert_eq!(fixture.call("check", 8000).status, 200, "{style:?}");
         std::thread::sleep(LONG_ENOUGH);
-        assert_eq!(bench.fleet.sent().len(), 1 + bench.goes_on(), "{style:?}");
+        assert_eq!(fixture.fleet.sent().len(), 1 + fixture.goes_on(), "{style:?}");
     }
 }
 
 #[test]
 fn who_left_while_a_connection_came_up_is_not_sent_on() {
     for style in STYLES {
-        let bench = Bench::limited(style, &[Act::Serve], [0, 0], "[limits]\nconnect_timeout_ms = 8000.0\n");
-        let late = LateListener::new();
+        let fixture = Fixture::with_limits(
+            style,
+            &[Behaviour::Serve],
+            [0, 0],
+            "[limits]\nconnect_timeout_ms = 8000.0\n",
+        );
+        let late = SlowAcceptListener::new();
         let _full = late.fill();
-        bench.set_worker("w1", &late.address.to_string(), "up");
-        bench.set_worker("w2", &bench.addresses[1], "draining");
-        let client = bench.start("check");
-        until("it waits for its connection", || bench.counted("sent") == 1);
-        bench.leave(client);
-        late.accept(PATIENCE).expect("what filled the queue");
-        let came = late.accept(PATIENCE).map(|mut connection| {
+        fixture.set_worker("w1", &late.address.to_string(), "up");
+        fixture.set_worker("w2", &fixture.addresses[1], "draining");
+        let client = fixture.start("check");
+        until("it waits for its connection", || fixture.counted("sent") == 1);
+        fixture.leave(client);
+        late.accept(TEST_TIMEOUT).expect("what filled the queue");
+        let came = late.accept(TEST_TIMEOUT).map(|mut connection| {
             connection.set_read_timeout(Some(LONG_ENOUGH)).expect("set");
             connection.read(&mut [0; 64]).unwrap_or(0)
         });
-        assert_eq!(came.unwrap_or(0) > 0, bench.goes_on() > 0, "{style:?}");
+        assert_eq!(came.unwrap_or(0) > 0, fixture.goes_on() > 0, "{style:?}");
     }
 }
 
@@ -478,21 +489,21 @@
 #[test]
 fn who_left_before_the_second_attempt_is_not_sent_on() {
     for style in STYLES {
-        let bench = Bench::new(style, &[Act::Serve], [0, 0]);
-        let first = LateListener::new();
-        bench.set_worker("w2", &bench.addresses[1], "draining");
-        bench.set_worker("w1", &first.address.to_string(), "up");
-        let client = bench.start("check");
-        let mut connection = first.accept(PATIENCE).expect("the first attempt");
+        let fixture = Fixture::new(style, &[Behaviour::Serve], [0, 0]);
+        let first = SlowAcceptListener::new();
+        fixture.set_worker("w2", &fixture.addresses[1], "draining");
+        fixture.set_worker("w1", &first.address.to_string(), "up");
+        let client = fixture.start("check");
+        let mut connection = first.accept(TEST_TIMEOUT).expect("the first attempt");
         assert!(connection.read(&mut [0; 64]).is_ok_and(|size| size > 0));
-        bench.set_worker("w1", &first.address.to_string(), "draining");
+        fixture.set_worker("w1", &first.address.to_string(), "draining");
         drop(connection);
-        until("it broke", || bench.counted("lost_reset") == 1);
-        bench.leave(client);
-        bench.set_worker("w2", &bench.addresses[1], "up");
-        assert_eq!(bench.call("check", 8000).status, 200, "{style:?}");
+        until("it broke", || fixture.counted("lost_reset") == 1);
+        fixture.leave(client);
+        fixture.set_worker("w2", &fixture.addresses[1], "up");
+        assert_eq!(fixture.call("check", 8000).status, 200, "{style:?}");
         std::thread::sleep(LONG_ENOUGH);
-        assert_eq!(bench.fleet.sent().len(), 1 + bench.goes_on(), "{style:?}");
+        assert_eq!(fixture.fleet.sent().len(), 1 + fixture.goes_on(), "{style:?}");
     }
 }
 
@@ -511,16 +522,16 @@
         (Server::Frames, many.as_str()),
     ];
     for (server, second) in ways {
-        let bench = Bench::new((Client::Synchronous, server), &[Act::Serve], [0, 0]);
-        bench.set_both("draining");
-        let mut client = bench.start("check");
-        until("it is taken", || bench.counted("taken") == 1);
+        let fixture = Fixture::new((Client::Synchronous, server), &[Behaviour::Serve], [0, 0]);
+        fixture.set_both("draining");
+        let mut client = fixture.start("check");
+        until("it is taken", || fixture.counted("taken") == 1);
         client.write_all(second.as_bytes()).expect("written");
         std::thread::sleep(Duration::from_millis(100));
-        bench.leave(client);
-        bench.set_both("up");
-        assert_eq!(bench.call("check", 8000).status, 200, "{server:?}");
+        fixture.leave(client);
+        fixture.set_both("up");
+        assert_eq!(fixture.call("check", 8000).status, 200, "{server:?}");
         std::thread::sleep(LONG_ENOUGH);
-        assert_eq!((bench.fleet.sent().len(), bench.counted("taken")), (1, 2), "{server:?}");
+        assert_eq!((fixture.fleet.sent().len(), fixture.counted("taken")), (1, 2), "{server:?}");
     }
 }
--- a/crates/node/tests/support/counting.rs
+++ b/crates/node/tests/support/counting.rs
@@ -1,7 +1,7 @@
-//! Stand-in workers that work on one request after the other, at a speed that grows with their age, and note when each
-//! request came; and a fleet of started programs that share them.
-use super::platform::{dispatch, fields, nodes, Bench, Channel, Client, Reply};
-use super::workers::Act;
+//! Fake workers that execute one request after the other, warm up with age, and record the arrival of each request; and a
+//! group of daemons that share them.
+use super::platform::{dispatch, fields, nodes, Channel, Client, Fixture, Reply};
+use super::workers::Behaviour;
 use super::{free_address, Daemon};
 use corkbay_node::wire::frames::{code, Frame, FROM_INVOKER, FROM_WORKER};
 use serde_json::{json, Value};
@@ -12,95 +12,99 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// What the settings say of a worker that has just started.
+/// The settings for workers that have just started.
 #[derive(Clone, Copy, Debug)]
-pub struct Ramp {
-    /// Part of its full speed at its start.
+pub struct WarmupSettings {
+    /// Fraction of its full speed at which a worker starts.
     pub from: f64,
-    /// It is warm after that.
+    /// Time until it is warm.
     pub span: Duration,
-    /// It falls over above this multiple of its capacity ...
+    /// It is overloaded by more than this multiple of its capacity ...
     pub multiple: f64,
-    /// ... in that time.
+    /// ... within this window.
     pub window: Duration,
     /// Work of a request on a warm worker.
     pub work: Duration,
 }
 
-impl Ramp {
-    /// Part of its full speed that a worker of that age has.
+impl WarmupSettings {
+    /// Fraction of its full speed that a worker of that age has.
     pub fn warmth(&self, age: Duration) -> f64 {
         let part = (age.as_secs_f64() / self.span.as_secs_f64()).min(1.0);
         self.from + (1.0 - self.from) * part
     }
 
-    /// Requests that a worker of that age is allowed in a window.
+    /// Number of requests that a worker of that age may receive in a window.
     pub fn allowed(&self, age: Duration) -> f64 {
         let warm = self.window.as_secs_f64() / self.work.as_secs_f64();
         self.multiple * self.warmth(age) * warm
     }
 
-    /// Requests in a window above which it falls.
+    /// Number of requests in a window above which a worker is overloaded.
     pub fn falls_above(&self, age: Duration) -> f64 {
         let allowed = self.allowed(age);
         allowed + 2.0 * allowed.sqrt() + 2.0
     }
 }
 
-/// Allowed requests under which the operators' term has more slack.
-const FEW: f64 = 30.0;
-/// Requests that wait at a worker before it says that it is full.
-const QUEUE: usize = 12;
+/// Below this number of allowed requests the operators' limit has more slack.
+const SMALL_ALLOWANCE: f64 = 30.0;
+/// Requests that queue at a worker before it answers that it is full.
+const QUEUE_CAPACITY: usize = 12;
 
-/// An answer that is due.
-struct Due {
+/// An answer to send at a given time.
+struct ScheduledAnswer {
     at: Instant,
     socket: Arc<TcpStream>,
     id: u64,
 }
 
-/// A worker process that takes the frames of any number of programs.
+/// A worker that accepts frames from any number of daemons and records when requests arrive.
 pub struct CountingWorker {
     pub address: SocketAddr,
     pub started: Instant,
-    /// Milliseconds of the clock that the programs share.
+    /// Start time in Unix milliseconds; 0 for a worker that is warm.
     pub since_ms: f64,
-    work: Arc<Work>,
+    state: Arc<WorkerState>,
 }
 
-struct Work {
-    ramp: Ramp,
-    /// `None` for a worker that was warm from the beginning.
+struct WorkerState {
+    ramp: WarmupSettings,
+    /// `None` for a worker that is warm from the start.
     started: Option<Instant>,
     free_at: Mutex<Instant>,
     arrivals: Mutex<Vec<Instant>>,
     served: AtomicU64,
 }
 
-/// Windows that are watched behind a start.
-const WINDOWS_WATCHED: u32 = 3;
+/// Number of windows after the start of a worker that are checked.
+const CHECKED_WINDOWS: u32 = 3;
 
 impl CountingWorker {
-    /// How many more requests than it is allowed came within a window that began with a request, at the worst, with the
-    /// slack of the operators' term; none where it is below zero.
-    pub fn worst_excess(&self, ramp: &Ramp) -> f64 {
+    /// Largest number of requests above the allowance and the slack of the operators' limit in any window that begins with
+    /// a request; negative if no window exceeds the limit.
+    pub fn worst_excess(&self, ramp: &WarmupSettings) -> f64 {
         let arrivals = self.arrivals();
         let excess = |(first, from): (usize, &Instant)| {
             let count = arrivals[first..].iter().take_while(|at| **at - *from < ramp.window).count();
             let allowed = ramp.allowed(*from - self.started + ramp.window / 2);
-            let slack = if allowed < FEW { 3.0 * allowed.sqrt() + 3.0 } else { 2.0 * allowed.sqrt() + 2.0 };
+            let slack = if allowed < SMALL_ALLOWANCE {
+                3.0 * allowed.sqrt() + 3.0
+            } else {
+                2.0 * allowed.sqrt() + 2.0
+            };
             count as f64 - allowed - slack
         };
         let watched = arrivals.iter().enumerate();
-        let watched = watched.filter(|(_, from)| **from - self.started < WINDOWS_WATCHED * ramp.window);
+        let watched = watched.filter(|(_, from)| **from - self.started < CHECKED_WINDOWS * ramp.window);
         watched.map(excess).fold(f64::NEG_INFINITY, f64::max)
     }
 
-    /// One that has just started and is cold, or one that has been warm for long.
-    pub fn start(ramp: Ramp, cold: bool) -> Self {
+    /// Starts a worker that is cold, or one that is warm already.
+    pub fn start(ramp: WarmupSettings, cold: bool) -> Self {
         let started = Instant::now();
         let since = SystemTime::now().duration_since(UNIX_EPOCH).expect("a clock").as_secs_f64() * 1000.0;
-        let work = Arc::new(Work {
+        let state = Arc::new(WorkerState {
             ramp,
             started: cold.then_some(started),
             free_at: Mutex::new(started),
@@ -110,55 +114,55 @@
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("bound");
         let (answers, due) = channel();
-        let ours = work.clone();
+        let ours = state.clone();
         std::thread::spawn(move || ours.answer(&due));
-        let ours = work.clone();
+        let ours = state.clone();
         std::thread::spawn(move || {
             for socket in listener.incoming().map_while(Result::ok) {
                 let (ours, answers) = (ours.clone(), answers.clone());
                 std::thread::spawn(move || ours.read(Arc::new(socket), &answers));
             }
         });
-        CountingWorker { address, started, since_ms: if cold { since } else { 0.0 }, work }
+        CountingWorker { address, started, since_ms: if cold { since } else { 0.0 }, state }
     }
 
-    /// When each request came.
+    /// Arrival times of the requests.
     pub fn arrivals(&self) -> Vec<Instant> {
-        self.work.arrivals.lock().expect("whole").clone()
+        self.state.arrivals.lock().expect("whole").clone()
     }
 
     pub fn served(&self) -> u64 {
-        self.work.served.load(Ordering::Relaxed)
+        self.state.served.load(Ordering::Relaxed)
     }
 }
 
-impl Work {
+impl WorkerState {
     fn speed(&self, now: Instant) -> f64 {
         self.started.map_or(1.0, |started| self.ramp.warmth(now - started))
     }
 
-    /// Takes a request; when its answer is due, or `None` where the queue is full.
-    fn take(&self) -> Option<Instant> {
+    /// Queues a request and returns when its answer is due; `None` if the queue is full.
+    fn enqueue(&self) -> Option<Instant> {
         let now = Instant::now();
         self.arrivals.lock().expect("whole").push(now);
         let each = self.ramp.work.div_f64(self.speed(now));
         let mut free_at = self.free_at.lock().expect("whole");
-        if *free_at > now + each * QUEUE as u32 {
+        if *free_at > now + each * QUEUE_CAPACITY as u32 {
             return None;
         }
         *free_at = (*free_at).max(now) + each;
         Some(*free_at)
     }
 
-    fn read(&self, socket: Arc<TcpStream>, answers: &Sender<Due>) {
+    fn read(&self, socket: Arc<TcpStream>, answers: &Sender<ScheduledAnswer>) {
         let (mut buffer, mut chunk) = (Vec::new(), [0; 4096]);
         loop {
             while let Some(frame) = Frame::decode(&mut buffer, FROM_INVOKER).expect("a good frame") {
                 match frame.code {
-                    code::REQUEST => match self.take() {
+                    code::REQUEST => match self.enqueue() {
                         Some(at) => {
-                            let due = Due { at, socket: socket.clone(), id: frame.id };
-                            answers.send(due).expect("the worker lives");
+                            let due = ScheduledAnswer { at, socket: socket.clone(), id: frame.id };
+                            answers.send(due).expect("the answering thread runs");
                         }
                         None => respond(&socket, code::FULL, frame.id),
                     },
@@ -173,8 +177,8 @@
         }
     }
 
-    /// Answers are due in the order in which their requests came.
-    fn answer(&self, answers: &Receiver<Due>) {
+    /// Sends answers at their due time, which is in order of arrival.
+    fn answer(&self, answers: &Receiver<ScheduledAnswer>) {
         for due in answers {
             std::thread::sleep(due.at.saturating_duration_since(Instant::now()));
             respond(&due.socket, code::OK, due.id);
@@ -183,16 +187,16 @@
     }
 }
 
-/// Whoever has left is seen by the reading side.
+/// Write errors are ignored: the reading side notices a closed connection.
 fn respond(mut socket: &TcpStream, code: u8, id: u64) {
     let frame = Frame { mark: FROM_WORKER, code, id, fields: "replicas=1".into(), body: b"y".to_vec() };
     let _ = socket.write_all(&frame.encode());
 }
 
-/// Programs that share a list of workers, each with a client that sends at a steady rate.
+/// Daemons that share a list of workers, each with a client that sends at a constant rate.
 pub struct Processes {
-    /// The first program and what the others' configuration is made of.
-    first: Bench,
+    /// The first daemon; the configuration of the others is derived from its own.
+    first: Fixture,
     others: Vec<(Daemon, Channel)>,
     running: Arc<AtomicBool>,
     answered: Arc<AtomicU64>,
@@ -201,19 +205,19 @@
 }
 
 impl Processes {
-    /// Starts so many with settings that the test changes.
-    pub fn start(count: usize, ramp: Ramp, change: impl FnOnce(&mut Value)) -> Self {
+    /// Starts `count` daemons; `change` edits their settings.
+    pub fn start(count: usize, ramp: WarmupSettings, change: impl FnOnce(&mut Value)) -> Self {
         Self::start_with(count, ramp, &[], change)
     }
 
-    /// The same with more in their environment.
+    /// Like [`Processes::start`], with additional environment variables.
     pub fn start_with(
         count: usize,
-        ramp: Ramp,
+        ramp: WarmupSettings,
         environment: &[(&str, String)],
         change: impl FnOnce(&mut Value),
     ) -> Self {
-        let first = Bench::started(&[Act::Serve], 0, (1024, 192), environment, |settings| {
+        let first = Fixture::with_environment(&[Behaviour::Serve], 0, (1024, 192), environment, |settings| {
             settings["balancers"] = json!(count);
             settings["safety"]["coldFrom"] = json!(ramp.from);
             settings["safety"]["coldMs"] = json!(ramp.span.as_secs_f64() * 1000.0);
@@ -241,14 +245,14 @@
         }
     }
 
-    /// The channels stay open and say nothing any more until the next news.
+    /// Leaves the open command channels without another byte; the next change is sent once the daemons have reconnected.
     pub fn silence(&self) {
         for channel in self.others.iter().map(|other| &other.1).chain([&self.first.channel]) {
             channel.events.send("fall silent".into()).expect("channel");
         }
     }
 
-    /// Tells all of them a change of the list: name, worker, status.
+    /// Sends changes of the worker list to all daemons, as name, worker and status.
     pub fn tell(&mut self, changes: &[(&str, &CountingWorker, &str)]) {
         self.cursor += 1;
         let hosts: Vec<_> = changes.iter().map(|change| (change.0, change.1.address, change.2)).collect();
@@ -262,7 +266,7 @@
         }
     }
 
-    /// Each program has a client from now on, which sends so many requests a second, of so many models.
+    /// Starts a client for each daemon that sends `rate` requests per second for `models` different models.
     pub fn load(&self, rate: f64, models: u64) {
         let daemons = self.others.iter().map(|other| &other.0).chain([&self.first.daemon]);
         for (number, daemon) in daemons.enumerate() {
@@ -282,8 +286,8 @@
                 for call in 1..=i32::MAX {
                     std::thread::sleep(next.saturating_duration_since(Instant::now()));
                     next += pause;
-                    let drawn = u64::from(call as u32).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 33;
-                    let (id, model) = ((number as u64 + 1) << 32 | call as u64, drawn % models + 1);
+                    let random = u64::from(call as u32).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 33;
+                    let (id, model) = ((number as u64 + 1) << 32 | call as u64, random % models + 1);
                     if !running.load(Ordering::Relaxed)
                         || client.socket.write_all(&request(call, id, model)).is_err()
                     {
@@ -295,7 +299,7 @@
         }
     }
 
-    /// Requests that were sent, and those that were answered.
+    /// Number of requests sent and number of requests served.
     pub fn counts(&self) -> (u64, u64) {
         (self.asked.load(Ordering::Relaxed), self.answered.load(Ordering::Relaxed))
     }
--- a/crates/node/tests/support/faults.rs
+++ b/crates/node/tests/support/faults.rs
@@ -1,4 +1,5 @@
-//! A control file for the library that steps a daemon's wall clock and fails its system calls.
+//! Fault injection: writes the control file of the preloaded library that shifts a daemon's wall clock and makes its
+//! system calls fail.
 use super::Folder;
 use std::fs::{File, OpenOptions};
 use std::os::unix::fs::FileExt;
@@ -6,14 +7,14 @@
 use std::process::Command;
 use std::sync::OnceLock;
 
-/// Where the words of the control file stand, as `corkbay-shim` documents them.
+/// Layout of the control file in 8-byte words, as documented by `corkbay-shim`.
 const PAGE: u64 = 4096;
 const WORD: u64 = 8;
 const FIRST_FAULT: u64 = 8;
 const WORDS_PER_FAULT: u64 = 4;
 const NANOS_PER_SECOND: f64 = 1e9;
 
-/// Calls that can be failed, in the order of their words.
+/// System calls that can be made to fail, in the order of their words in the control file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Call {
     Accept,
@@ -28,7 +29,7 @@
     Truncate,
 }
 
-/// The faults of one daemon.
+/// The injected faults of one daemon.
 pub struct Faults {
     control: File,
     path: PathBuf,
@@ -36,7 +37,7 @@
 }
 
 impl Faults {
-    /// None yet, and a clock that is right.
+    /// Starts with no faults and an unshifted clock.
     pub fn new() -> Self {
         let folder = Folder::new();
         let path = folder.0.join("control");
@@ -51,7 +52,7 @@
         Faults { control, path, _folder: folder }
     }
 
-    /// What the daemon is started with.
+    /// Environment variables to start the daemon with.
     pub fn environment(&self) -> [(&'static str, String); 2] {
         let text = |path: &Path| path.to_str().expect("a plain path").to_string();
         [("LD_PRELOAD", text(library())), ("CORKBAY_SHIM", text(&self.path))]
@@ -67,14 +68,14 @@
         u64::from_ne_bytes(bytes)
     }
 
-    /// Steps the wall clock by so many seconds, forward or back.
+    /// Shifts the wall clock by that many seconds, which may be negative.
     pub fn step_clock(&self, seconds: f64) {
         let offset = self.get(0) as i64 + (seconds * NANOS_PER_SECOND) as i64;
         self.set(0, offset as u64);
     }
 
-    /// From now on each call of that kind whose number the period divides fails with that error, so often at most; the
-    /// error 0 stands for half of the bytes.
+    /// From now on every `period`-th call fails with `error`, at most `most` times; with `error` 0 it transfers only half
+    /// of its bytes instead.
     pub fn fail(&self, call: Call, period: u64, error: i32, most: u64) {
         let first = FIRST_FAULT + call as u64 * WORDS_PER_FAULT;
         self.set(first + 1, error as u64);
@@ -82,18 +83,18 @@
         self.set(first, period);
     }
 
-    /// Failures of a call that are still to come, of those set at first.
+    /// Remaining failures of those that were set by [`Faults::fail`].
     pub fn left(&self, call: Call) -> u64 {
         self.get(FIRST_FAULT + call as u64 * WORDS_PER_FAULT + 2)
     }
 
-    /// Calls of that kind pass from now on.
+    /// Stops failing that call.
     pub fn mend(&self, call: Call) {
         self.set(FIRST_FAULT + call as u64 * WORDS_PER_FAULT, 0);
     }
 }
 
-/// The library, built once for the whole program of tests.
+/// Path of the preloaded library, which is built once per test binary.
 fn library() -> &'static Path {
     static LIBRARY: OnceLock<PathBuf> = OnceLock::new();
     LIBRARY.get_or_init(|| {
@@ -102,11 +103,11 @@
         let mut build = Command::new(cargo);
         build.args(["build", "--quiet", "--offline", "--manifest-path"]).arg(manifest);
         assert!(build.status().expect("cargo runs").success(), "the library is built");
-        // Beside `deps`, where the programs of tests stand.
+        // The library is next to `deps`, the folder of the test binaries.
         let program = std::env::current_exe().expect("this program");
         let folder = program.ancestors().nth(2).expect("its folder");
         let path = folder.join("libcorkbay_shim.so");
-        assert!(path.exists(), "{} stands", path.display());
+        assert!(path.exists(), "{} exists", path.display());
         path
     })
 }
--- a/crates/node/tests/support/late.rs
+++ b/crates/node/tests/support/late.rs
@@ -1,34 +1,35 @@
-//! A worker whose connections come up late: the kernel drops a caller's first packet while the queue of those who wait
-//! to be accepted is full, and the caller tries again a second later.
+//! A worker whose connections are established late: while the accept queue of its listener is full the kernel drops SYN
+//! packets, and the caller sends the next one a second later.
 use corkbay_node::wire::frames::{code, Frame, FROM_INVOKER};
 use socket2::{Domain, Socket, Type};
 use std::io::Read;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-/// A listener that can be shut to newcomers for a while.
-pub struct LateListener {
+/// A listener whose accept queue can be filled, so that new connections are delayed.
+pub struct SlowAcceptListener {
     pub address: SocketAddr,
     listener: TcpListener,
 }
 
-impl LateListener {
+impl SlowAcceptListener {
     pub fn new() -> Self {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
         let any: SocketAddr = "127.0.0.1:0".parse().expect("address");
         socket.bind(&any.into()).expect("bound");
-        // A queue of one.
+        // A backlog of 0 gives an accept queue for one connection.
         socket.listen(0).expect("listens");
         let listener = TcpListener::from(socket);
-        LateListener { address: listener.local_addr().expect("bound"), listener }
+        SlowAcceptListener { address: listener.local_addr().expect("bound"), listener }
     }
 
-    /// Fills the queue: whoever calls now comes up after the queue was emptied, and not before a second has passed.
+    /// Fills the accept queue. Connections attempted from now on are established once the queue has been emptied, and not
+    /// before a second has passed.
     pub fn fill(&self) -> TcpStream {
         TcpStream::connect(self.address).expect("the queue was empty")
     }
 
-    /// The next connection in the queue, waited for that long.
+    /// Accepts the next connection; `None` if none arrives in time.
     pub fn accept(&self, within: Duration) -> Option<TcpStream> {
         self.listener.set_nonblocking(true).expect("set");
         let start = Instant::now();
@@ -43,12 +44,12 @@
     }
 }
 
-/// The ids of the requests that come whole on a connection until it ends or nothing more comes for that long.
+/// Ids of the complete requests received on a connection until it ends or stays idle for `within`.
 pub fn requests(socket: &TcpStream, within: Duration) -> Vec<u64> {
     request_frames(socket, within).iter().map(|frame| frame.id).collect()
 }
 
-/// The same with all that they say.
+/// Like [`requests`], with the whole frames.
 pub fn request_frames(mut socket: &TcpStream, within: Duration) -> Vec<Frame> {
     socket.set_read_timeout(Some(within)).expect("set");
     let (mut buffer, mut chunk, mut frames) = (Vec::new(), [0; 4096], Vec::new());
--- a/crates/node/tests/support/leaving.rs
+++ b/crates/node/tests/support/leaving.rs
@@ -1,33 +1,33 @@
-//! Clients that leave in different ways, on either front of the started program, and a worker that holds what it gets
-//! until it fails it.
-use super::platform::{cancel, dispatch, fields, Bench, Client, Reply};
-use super::workers::{Act, Fleet};
-use super::{ask, receive, until, Daemon, Folder, CLASSES, PATIENCE};
+//! Clients that cancel or disconnect in different ways, on either front of the daemon, and a worker that leaves requests
+//! unanswered until it fails them.
+use super::platform::{cancel, dispatch, fields, Client, Fixture, Reply};
+use super::workers::{Behaviour, Fleet};
+use super::{ask, receive, until, Daemon, Folder, CLASSES, TEST_TIMEOUT};
 use corkbay_node::wire::frames::{code, Frame, FROM_INVOKER, FROM_WORKER};
 use rustix::net::connect_unspec;
 use std::io::{BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex};
 
-/// How a client leaves.
+/// How a client cancels its request or disconnects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Leaving {
-    /// It takes its request back and stays connected; on the platform's front only.
+pub enum Departure {
+    /// Cancels its request and stays connected; only on the Thrift front.
     Cancels,
-    /// The same behind a second request that it does not take back.
-    CancelsBefore,
+    /// The same after sending a second request, which it does not cancel.
+    CancelsBeforeSecond,
     Closes,
-    /// It writes no more and would go on reading.
+    /// Shuts down its sending side and keeps reading.
     HalfCloses,
-    /// Its machine resets the connection.
+    /// Resets the connection.
     Resets,
-    /// It closes behind a second request that was not answered either.
-    ClosesBehindSecond,
-    /// It closes behind a part of a second request.
-    ClosesBehindPart,
+    /// Closes the connection with a second unanswered request on it.
+    ClosesAfterSecond,
+    /// Closes the connection after sending a part of a second request.
+    ClosesAfterPartialRequest,
 }
 
-/// What is spoken to the program.
+/// The protocol front that clients use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Front {
     Platform,
@@ -35,7 +35,7 @@
 }
 
 impl Front {
-    /// A request as it stands on the wire.
+    /// An encoded request.
     pub fn request(self, seqid: i32, body: &str) -> Vec<u8> {
         match self {
             Front::Platform => {
@@ -50,28 +50,28 @@
     }
 }
 
-/// A client with one open request, or two where the way asks for it.
-pub struct Leaver {
-    way: Leaving,
+/// A client that is about to leave, with one open request or, for some departures, two.
+pub struct DepartingClient {
+    way: Departure,
     socket: TcpStream,
 }
 
-/// The program behind one of its fronts, with workers that the test names to it.
+/// A daemon with one of its fronts; the test registers workers with it.
 pub struct Site {
     pub front: Front,
     pub fleet: Fleet,
     cursor: u64,
-    bench: Option<Bench>,
+    fixture: Option<Fixture>,
     daemon: Option<(Daemon, Folder)>,
 }
 
 impl Site {
-    /// Without a worker.
+    /// Starts a daemon that has no worker.
     pub fn new(front: Front) -> Self {
         match front {
             Front::Platform => {
-                let bench = Bench::new(&[Act::Serve], 0);
-                Site { front, fleet: bench.fleet.clone(), cursor: 1, bench: Some(bench), daemon: None }
+                let fixture = Fixture::new(&[Behaviour::Serve], 0);
+                Site { front, fleet: fixture.fleet.clone(), cursor: 1, fixture: Some(fixture), daemon: None }
             }
             Front::Http => {
                 let folder = Folder::new();
@@ -79,27 +79,27 @@
                     "node = \"n\"\nlisten = \"127.0.0.1:0\"\ndata_dir = \"data\"\n[transport]\nprotocol = \"frames\"\n{CLASSES}"
                 );
                 let daemon = Daemon::serve(&folder.write("invoke.toml", &text));
-                let fleet = Fleet::new(&[Act::Serve]);
-                Site { front, fleet, cursor: 1, bench: None, daemon: Some((daemon, folder)) }
+                let fleet = Fleet::new(&[Behaviour::Serve]);
+                Site { front, fleet, cursor: 1, fixture: None, daemon: Some((daemon, folder)) }
             }
         }
     }
 
     fn daemon(&self) -> &Daemon {
         let other = self.daemon.as_ref().map(|(daemon, _)| daemon);
-        self.bench.as_ref().map(|bench| &bench.daemon).or(other).expect("one of the two")
+        self.fixture.as_ref().map(|fixture| &fixture.daemon).or(other).expect("one of the two")
     }
 
-    /// Signals the program.
+    /// Sends a signal to the daemon.
     pub fn signal(&self, name: &str) {
         self.daemon().signal(name);
     }
 
-    /// Names a worker to the program; states are `up` and `draining`.
+    /// Registers a worker with the daemon or changes its state, which is `up` or `draining`.
     pub fn set_worker(&mut self, name: &str, address: SocketAddr, state: &str) {
         self.cursor += 1;
-        match &self.bench {
-            Some(bench) => bench.channel.tell(self.cursor, name, address, state),
+        match &self.fixture {
+            Some(fixture) => fixture.channel.tell(self.cursor, name, address, state),
             None => {
                 let body = format!("{{\"address\":\"{address}\",\"state\":\"{state}\"}}");
                 let path = format!("/v1/workers/{name}");
@@ -109,7 +109,7 @@
     }
 
     fn counted(&self, counter: &str, count: u64) -> bool {
-        if self.bench.is_some() {
+        if self.fixture.is_some() {
             self.daemon().signal("USR1");
             return self.daemon().errors().contains(&format!("{counter}={count} "));
         }
@@ -117,36 +117,37 @@
         status["counters"][counter].as_u64() == Some(count)
     }
 
-    /// Waits until a counter stands there.
+    /// Waits until a counter has that value.
     pub fn until_counted(&self, counter: &str, count: u64) {
         until(counter, || self.counted(counter, count));
     }
 
-    /// A client that asks, with a body that is told by `name`.
+    /// Sends a request whose body is `name` on a new connection.
     pub fn ask(&self, name: &str) -> TcpStream {
         let mut socket = TcpStream::connect(self.daemon().address).expect("connects");
-        socket.set_read_timeout(Some(PATIENCE)).expect("set");
+        socket.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
         socket.write_all(&self.front.request(1, name)).expect("written");
         socket
     }
 
-    /// A client that asks and will leave in that way; whatever it asks has a body that begins with `leaver`.
-    pub fn ask_and_leave(&self, way: Leaving) -> Leaver {
+    /// Sends the requests of a client that will leave in that way. The body of each request that its departure withdraws
+    /// begins with `leaver`.
+    pub fn send_and_prepare_departure(&self, way: Departure) -> DepartingClient {
         let mut socket = self.ask(&format!("leaver {way:?}"));
         let second = |name: &str| self.front.request(2, &format!("{name} second {way:?}"));
         match way {
-            Leaving::CancelsBefore => socket.write_all(&second("stayer")).expect("written"),
-            Leaving::ClosesBehindSecond => socket.write_all(&second("leaver")).expect("written"),
-            Leaving::ClosesBehindPart => {
+            Departure::CancelsBeforeSecond => socket.write_all(&second("stayer")).expect("written"),
+            Departure::ClosesAfterSecond => socket.write_all(&second("leaver")).expect("written"),
+            Departure::ClosesAfterPartialRequest => {
                 let next = second("leaver");
                 socket.write_all(&next[..next.len() / 2]).expect("written");
             }
             _ => {}
         }
-        Leaver { way, socket }
+        DepartingClient { way, socket }
     }
 
-    /// Waits for the answer to the request of a client that stays.
+    /// Waits for the answer to the request of a client that stays connected.
     pub fn assert_served(&self, socket: TcpStream) {
         match self.front {
             Front::Platform => {
@@ -163,24 +164,24 @@
     }
 }
 
-impl Leaver {
-    /// Leaves; the connection, where it stays open. A closed descriptor would not do: a child that another test starts
-    /// holds a copy of it until it runs, and the connection stays for so long.
+impl DepartingClient {
+    /// Makes the client leave and returns its connection if that stays open. Closing the descriptor would not be enough: a
+    /// child process that another test starts holds a copy of it between fork and exec, which keeps the connection open.
     pub fn leave(mut self) -> Option<TcpStream> {
         match self.way {
-            Leaving::Cancels | Leaving::CancelsBefore => {
+            Departure::Cancels | Departure::CancelsBeforeSecond => {
                 self.socket.write_all(&cancel(1)).expect("written");
                 Some(self.socket)
             }
-            Leaving::HalfCloses => {
+            Departure::HalfCloses => {
                 self.socket.shutdown(Shutdown::Write).expect("shut");
                 Some(self.socket)
             }
-            Leaving::Resets => {
+            Departure::Resets => {
                 connect_unspec(&self.socket).expect("reset");
                 None
             }
-            Leaving::Closes | Leaving::ClosesBehindSecond | Leaving::ClosesBehindPart => {
+            Departure::Closes | Departure::ClosesAfterSecond | Departure::ClosesAfterPartialRequest => {
                 self.socket.shutdown(Shutdown::Both).expect("shut");
                 None
             }
@@ -188,24 +189,24 @@
     }
 }
 
-/// How held requests fail.
+/// How a [`HoldingWorker`] fails its requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Failing {
-    /// Their connection breaks.
-    Breaks,
-    /// The worker has no room.
+pub enum FailureMode {
+    /// Closes the connection.
+    Disconnect,
+    /// Answers that it is full.
     Full,
-    /// The worker says that it failed.
-    Errs,
+    /// Answers with an error.
+    Error,
 }
 
-/// A worker that speaks frames, and answers nothing until it fails all that it got.
+/// A worker with the frame protocol that answers no request until it fails all of them.
 pub struct HoldingWorker {
     pub address: SocketAddr,
-    held: Arc<Mutex<Vec<Held>>>,
+    held: Arc<Mutex<Vec<HeldRequest>>>,
 }
 
-struct Held {
+struct HeldRequest {
     socket: TcpStream,
     id: u64,
     body: Vec<u8>,
@@ -215,7 +216,7 @@
     pub fn new() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("bound");
-        let held: Arc<Mutex<Vec<Held>>> = Arc::default();
+        let held: Arc<Mutex<Vec<HeldRequest>>> = Arc::default();
         let ours = held.clone();
         std::thread::spawn(move || {
             for socket in listener.incoming().map_while(Result::ok) {
@@ -226,23 +227,23 @@
         HoldingWorker { address, held }
     }
 
-    /// The bodies of what came.
+    /// Bodies of the requests received.
     pub fn bodies(&self) -> Vec<String> {
         let held = self.held.lock().expect("whole");
         held.iter().map(|one| String::from_utf8_lossy(&one.body).into_owned()).collect()
     }
 
-    /// Fails all that came so far.
-    pub fn fail(&self, how: Failing) {
-        for Held { socket, id, .. } in self.held.lock().expect("whole").iter() {
+    /// Fails all requests received so far.
+    pub fn fail(&self, how: FailureMode) {
+        for HeldRequest { socket, id, .. } in self.held.lock().expect("whole").iter() {
             let code = match how {
-                Failing::Breaks => {
-                    // Another request on the same connection may have ended it.
+                FailureMode::Disconnect => {
+                    // Another request on the same connection may have closed it already.
                     let _ = socket.shutdown(Shutdown::Both);
                     continue;
                 }
-                Failing::Full => code::FULL,
-                Failing::Errs => code::ERROR,
+                FailureMode::Full => code::FULL,
+                FailureMode::Error => code::ERROR,
             };
             let answer = Frame { mark: FROM_WORKER, code, id: *id, fields: String::new(), body: Vec::new() };
             (&*socket).write_all(&answer.encode()).expect("written");
@@ -250,13 +251,13 @@
     }
 }
 
-fn hold(mut socket: TcpStream, held: &Mutex<Vec<Held>>) {
+fn hold(mut socket: TcpStream, held: &Mutex<Vec<HeldRequest>>) {
     let (mut buffer, mut chunk) = (Vec::new(), [0; 4096]);
     loop {
         while let Some(frame) = Frame::decode(&mut buffer, FROM_INVOKER).expect("a good frame") {
             if frame.code == code::REQUEST {
                 let socket = socket.try_clone().expect("cloned");
-                held.lock().expect("whole").push(Held { socket, id: frame.id, body: frame.body });
+                held.lock().expect("whole").push(HeldRequest { socket, id: frame.id, body: frame.body });
             }
         }
         match socket.read(&mut chunk) {
--- a/crates/node/tests/support/mod.rs
+++ b/crates/node/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! The program under test as a child process, a plain HTTP client, and stand-in workers.
-#![allow(dead_code)] // Each test file uses a part of this.
+//! Test support: the daemon as a child process, a plain HTTP client, and fake workers.
+#![allow(dead_code)] // Each test file compiles this module and uses only a part of it.
 use socket2::{Domain, Socket, Type};
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Write};
@@ -18,7 +18,7 @@
 pub mod platform;
 pub mod workers;
 
-/// A class of each effect with a function of the same name.
+/// Configuration with one class per effect, and a function of the same name in each.
 pub const CLASSES: &str = r#"
 [[class]]
 name = "check"
@@ -48,10 +48,10 @@
 class = "once"
 "#;
 
-/// Longest wait for anything that must come.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// Longest wait for an event that the test requires.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A folder of a test's own, gone with it.
+/// A temporary folder of one test, removed on drop.
 pub struct Folder(pub PathBuf);
 
 impl Folder {
@@ -77,7 +77,7 @@
     }
 }
 
-/// The started program.
+/// A running daemon; killed on drop.
 pub struct Daemon {
     pub child: Child,
     pub address: SocketAddr,
@@ -86,35 +86,35 @@
 }
 
 impl Daemon {
-    /// Starts the invoke API and waits until it listens.
+    /// Starts the HTTP front (`corkbay serve`) and waits until it listens.
     pub fn serve(deploy: &Path) -> Self {
         let mut command = Command::new(env!("CARGO_BIN_EXE_corkbay"));
         Self::listening(command.arg("serve").arg(deploy))
     }
 
-    /// The same with more in its environment.
+    /// Like [`Daemon::serve`], with additional environment variables.
     pub fn serve_with(deploy: &Path, environment: &[(&str, String)]) -> Self {
         let mut command = Command::new(env!("CARGO_BIN_EXE_corkbay"));
         command.envs(environment.iter().map(|(name, value)| (name, value)));
         Self::listening(command.arg("serve").arg(deploy))
     }
 
-    /// The same with no more than so many descriptors.
-    pub fn serve_within(deploy: &Path, descriptors: u32) -> Self {
+    /// Like [`Daemon::serve`], with a limit on open file descriptors.
+    pub fn serve_with_descriptor_limit(deploy: &Path, descriptors: u32) -> Self {
         let mut command = Command::new("sh");
         command.arg("-c").arg(format!("ulimit -n {descriptors}; exec \"$0\" serve \"$1\""));
         Self::listening(command.arg(env!("CARGO_BIN_EXE_corkbay")).arg(deploy))
     }
 
-    /// Starts the platform's front with no more than so many descriptors, and waits until it listens.
-    pub fn platform_within(config: &Path, address: SocketAddr, descriptors: u32) -> Self {
+    /// Like [`Daemon::platform`], with a limit on open file descriptors.
+    pub fn platform_with_descriptor_limit(config: &Path, address: SocketAddr, descriptors: u32) -> Self {
         let mut command = Command::new("sh");
         command.arg("-c").arg(format!("ulimit -n {descriptors}; exec \"$0\""));
         command.arg(env!("CARGO_BIN_EXE_corkbay"));
         command.env("PROXY_CONFIG", config).env("PROXY_LISTEN", address.to_string());
         command.env("TMPDIR", config.parent().expect("a folder"));
         let mut child = spawn(&mut command);
-        let errors = gather(&mut child);
+        let errors = collect_errors(&mut child);
         let daemon = Daemon { child, address, replication: None, errors };
         until("it listens", || TcpStream::connect(address).is_ok());
         daemon
@@ -123,7 +123,7 @@
     fn listening(command: &mut Command) -> Self {
         let mut child = spawn(command);
         let mut lines = BufReader::new(child.stdout.take().expect("piped")).lines();
-        let errors = gather(&mut child);
+        let errors = collect_errors(&mut child);
         let mut replication = None;
         let address = loop {
             let Some(Ok(line)) = lines.next() else { panic!("did not start: {}", text(&errors)) };
@@ -137,31 +137,31 @@
         Daemon { child, address, replication, errors }
     }
 
-    /// Starts the platform's front and waits until it listens.
+    /// Starts the platform's Thrift front and waits until it listens.
     pub fn platform(config: &Path, address: SocketAddr) -> Self {
         Self::platform_with(config, address, &[])
     }
 
-    /// The same with more in its environment.
+    /// Like [`Daemon::platform`], with additional environment variables.
     pub fn platform_with(config: &Path, address: SocketAddr, environment: &[(&str, String)]) -> Self {
-        let daemon = Self::beside(config, address, environment);
+        let daemon = Self::spawn_platform(config, address, environment);
         until("it listens", || TcpStream::connect(address).is_ok());
         daemon
     }
 
-    /// Starts the platform's front with more in its environment, and waits for nothing. What processes of one address
-    /// share stands beside their configuration.
-    pub fn beside(config: &Path, address: SocketAddr, environment: &[(&str, String)]) -> Self {
+    /// Starts the platform's Thrift front without waiting for it to listen. `TMPDIR` is the folder of the configuration:
+    /// the files that processes at one address share are created there.
+    pub fn spawn_platform(config: &Path, address: SocketAddr, environment: &[(&str, String)]) -> Self {
         let mut command = Command::new(env!("CARGO_BIN_EXE_corkbay"));
         command.env("PROXY_CONFIG", config).env("PROXY_LISTEN", address.to_string());
         command.env("TMPDIR", config.parent().expect("a folder"));
         command.envs(environment.iter().map(|(name, value)| (name, value)));
         let mut child = spawn(&mut command);
-        let errors = gather(&mut child);
+        let errors = collect_errors(&mut child);
         Daemon { child, address, replication: None, errors }
     }
 
-    /// Sends a signal. A stop is waited for: threads run on until each has taken it.
+    /// Sends a signal. For `STOP`, waits until every thread is stopped: threads keep running until the signal reaches them.
     pub fn signal(&self, name: &str) {
         let line = format!("kill -{name} {}", self.child.id());
         assert!(Command::new("sh").arg("-c").arg(line).status().expect("sh").success());
@@ -177,19 +177,19 @@
         statuses.all(|status| status.is_ok_and(|status| status.contains("State:\tT")))
     }
 
-    /// What it has written to standard error so far.
+    /// Standard error so far.
     pub fn errors(&self) -> String {
         text(&self.errors)
     }
 
-    /// Waits for its end and gives its exit code.
+    /// Waits for the process to exit and returns its exit code.
     pub fn exit_code(&mut self) -> Option<i32> {
         let start = Instant::now();
         loop {
             if let Some(status) = self.child.try_wait().expect("own child") {
                 return status.code();
             }
-            assert!(start.elapsed() < PATIENCE, "still running: {}", self.errors());
+            assert!(start.elapsed() < TEST_TIMEOUT, "still running: {}", self.errors());
             std::thread::sleep(Duration::from_millis(10));
         }
     }
@@ -203,10 +203,15 @@
 }
 
 fn spawn(command: &mut Command) -> Child {
-    command.stdout(Stdio::piped()).stderr(Stdio::piped()).stdin(Stdio::null()).spawn().expect("starts")
+    command
+        .stdout(Stdio::piped())
+        .stderr(Stdio::piped())
+        .stdin(Stdio::null())
+        .spawn()
+        .expect("the program starts")
 }
 
-fn gather(child: &mut Child) -> Arc<Mutex<String>> {
+fn collect_errors(child: &mut Child) -> Arc<Mutex<String>> {
     let errors = Arc::new(Mutex::new(String::new()));
     let (pipe, ours) = (child.stderr.take().expect("piped"), errors.clone());
     std::thread::spawn(move || {
@@ -223,19 +228,19 @@
     errors.lock().expect("whole").clone()
 }
 
-/// Waits until something holds.
+/// Polls a condition until it holds; fails the test after [`TEST_TIMEOUT`].
 pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
     let start = Instant::now();
     while !holds() {
-        assert!(start.elapsed() < PATIENCE, "waited in vain until {what}");
+        assert!(start.elapsed() < TEST_TIMEOUT, "timed out waiting until {what}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// An address where nothing listens until the caller does. Each has a loopback address of its own: the
-/// program's listeners share ports, so a free port on a common address may be handed out twice. It is bound without
-/// listening: a process that another test is just starting holds a copy of the descriptor until it runs its program, and a
-/// copy that listened would keep the caller from listening.
+/// Returns an address on which nothing listens yet. Each call uses a loopback IP of its own: the daemon's listeners use
+/// `SO_REUSEPORT`, so a free port on a common IP could be handed out twice. The socket is bound but doesn't listen: a child
+/// process that another test is starting holds a copy of the descriptor between fork and exec, and a listening copy would
+/// keep the caller from listening.
 pub fn free_address() -> SocketAddr {
     static COUNT: AtomicU32 = AtomicU32::new(0);
     let (number, process) = (COUNT.fetch_add(1, Ordering::Relaxed), std::process::id());
@@ -246,7 +251,7 @@
     socket.local_addr().expect("bound").as_socket().expect("an IPv4 address")
 }
 
-/// A response as a client sees it; header names in lower case.
+/// An HTTP response; header names are in lower case.
 #[derive(Debug)]
 pub struct Response {
     pub status: u16,
@@ -264,7 +269,7 @@
     }
 }
 
-/// Writes a request on a connection of its own and leaves the answer unread.
+/// Sends a request on a new connection and returns the connection with the response unread.
 pub fn start(
     address: SocketAddr,
     method: &str,
@@ -273,7 +278,7 @@
     body: &[u8],
 ) -> TcpStream {
     let mut socket = TcpStream::connect(address).expect("connects");
-    socket.set_read_timeout(Some(PATIENCE)).expect("set");
+    socket.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
     let mut head = format!("{method} {path} HTTP/1.1\r\nHost: test\r\nContent-Length: {}\r\n", body.len());
     for (name, value) in headers {
         head.push_str(&format!("{name}: {value}\r\n"));
@@ -283,12 +288,12 @@
     socket
 }
 
-/// Asks and waits for the answer.
+/// Sends a request on a new connection and reads the response.
 pub fn ask(address: SocketAddr, method: &str, path: &str, headers: &[(&str, &str)], body: &[u8]) -> Response {
     receive(&mut BufReader::new(start(address, method, path, headers, body)))
 }
 
-/// Reads one response.
+/// Reads one HTTP response.
 pub fn receive(reader: &mut impl BufRead) -> Response {
     let (first, headers) = head(reader).expect("a response");
     let status = first.split(' ').nth(1).and_then(|code| code.parse().ok()).expect("a status");
@@ -298,7 +303,7 @@
     Response { status, headers, body }
 }
 
-/// The first line and the headers of a message; `None` at the end of a connection.
+/// Reads the first line and the headers of a message; `None` if the connection has ended.
 pub fn head(reader: &mut impl BufRead) -> Option<(String, HashMap<String, String>)> {
     let mut line = || {
         let mut line = String::new();
--- a/crates/node/tests/support/nodes.rs
+++ b/crates/node/tests/support/nodes.rs
@@ -1,4 +1,4 @@
-//! Nodes that share configuration: control nodes, followers, and a relay whose connections can be cut.
+//! Nodes that replicate configuration (control nodes and followers), and a TCP relay that simulates network failures.
 use super::{ask, Daemon, Folder, CLASSES};
 use serde_json::{json, Value};
 use std::io::{self, Read, Write};
@@ -7,12 +7,12 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// The classes without the functions.
+/// [`CLASSES`] without its functions.
 pub fn classes_only() -> &'static str {
     CLASSES.split("[[function]]").next().expect("classes come first")
 }
 
-/// A deploy file of a node with data of its own.
+/// A deploy file for a node with its own data folder.
 pub fn deploy(node: &str, sections: &str) -> String {
     format!("node = \"{node}\"\nlisten = \"127.0.0.1:0\"\ndata_dir = \"data-{node}\"\n{sections}")
 }
@@ -24,35 +24,35 @@
     format!("[replication]\nlisten = \"{listen}\"\npeers = [{peers}]\ninterval_ms = {interval_ms}\n")
 }
 
-/// Starts a node from a deploy file of its own.
+/// Writes a deploy file and starts a node from it.
 pub fn start_node(folder: &Folder, node: &str, sections: &str) -> Daemon {
     Daemon::serve(&folder.write(&format!("{node}.toml"), &deploy(node, sections)))
 }
 
-/// What a node tells of itself.
+/// The status page of a node.
 pub fn status(node: &Daemon) -> Value {
     ask(node.address, "GET", "/v1/status", &[], b"").json()
 }
 
-/// Adds or changes a function, told apart by its memory.
+/// Adds or changes a function; tests distinguish its versions by `memory_mb`.
 pub fn put_function(node: &Daemon, name: &str, memory_mb: u64) {
     let body = json!({"class": "check", "memory_mb": memory_mb}).to_string();
     let response = ask(node.address, "PUT", &format!("/v1/functions/{name}"), &[], body.as_bytes());
     assert_eq!(response.status, 204, "{}", String::from_utf8_lossy(&response.body));
 }
 
-/// Takes a function away.
+/// Deletes a function.
 pub fn delete_function(node: &Daemon, name: &str) {
     let response = ask(node.address, "DELETE", &format!("/v1/functions/{name}"), &[], b"");
     assert_eq!(response.status, 204);
 }
 
-/// The memory of a function as a node knows it; `None` where it knows none of that name.
+/// `memory_mb` of a function on a node; `None` if the node has no such function.
 pub fn function_memory(node: &Daemon, name: &str) -> Option<f64> {
     ask(node.address, "GET", "/v1/functions", &[], b"").json()[name]["memory_mb"].as_f64()
 }
 
-/// Passes connections on to an address until it is cut or silenced.
+/// Forwards connections to an address until it is cut or silenced.
 pub struct Relay {
     pub address: SocketAddr,
     is_cut: Arc<AtomicBool>,
@@ -87,7 +87,7 @@
         relay
     }
 
-    /// Ends all connections and lets none through from now on.
+    /// Closes all connections, and closes new ones at once from now on.
     pub fn cut(&self) {
         self.is_cut.store(true, Ordering::SeqCst);
         for socket in self.sockets.lock().expect("whole").drain(..) {
@@ -95,20 +95,20 @@
         }
     }
 
-    /// Passes nothing on from now on, as a network that loses all packets: connections stay open, and what is on its way
+    /// Forwards nothing from now on, like a network that loses all packets: connections stay open, and pending data
     /// arrives after [`Relay::mend`].
     pub fn silence(&self) {
         self.is_silent.store(true, Ordering::SeqCst);
     }
 
-    /// Lets connections and what stood on them through again.
+    /// Forwards new connections and pending data again.
     pub fn mend(&self) {
         self.is_cut.store(false, Ordering::SeqCst);
         self.is_silent.store(false, Ordering::SeqCst);
     }
 }
 
-/// Passes bytes on; while it is silent they wait, and so does the end of the connection.
+/// Forwards bytes in one direction. While the relay is silent, data and the end of the connection are held back.
 fn copy(mut from: TcpStream, mut to: TcpStream, is_silent: &AtomicBool) {
     let mut chunk = [0; 16 << 10];
     loop {
@@ -124,21 +124,21 @@
     let _ = to.shutdown(Shutdown::Both);
 }
 
-/// A message as nodes send it: its length, the CRC32 of its text, its text.
+/// Encodes a replication message: its length, the CRC32 of its text, the text.
 pub fn frame(text: &str) -> Vec<u8> {
     let length = (text.len() as u32).to_be_bytes();
     let checksum = crc32fast::hash(text.as_bytes()).to_be_bytes();
     [&length, &checksum, text.as_bytes()].concat()
 }
 
-/// Waits until the other side has ended a connection, whatever it says before.
+/// Reads and discards data until the peer has ended the connection.
 pub fn until_ended(mut socket: TcpStream) {
-    socket.set_read_timeout(Some(super::PATIENCE)).expect("set");
+    socket.set_read_timeout(Some(super::TEST_TIMEOUT)).expect("set");
     loop {
         match socket.read(&mut [0; 64]) {
             Ok(0) => return,
             Ok(_) => {}
-            // A connection that is closed over bytes that were not read is reset.
+            // Closing a socket that has unread data resets the connection.
             Err(error) if error.kind() == io::ErrorKind::ConnectionReset => return,
             Err(error) => panic!("not ended: {error}"),
         }
--- a/crates/node/tests/support/platform.rs
+++ b/crates/node/tests/support/platform.rs
@@ -1,6 +1,6 @@
-//! The program on the platform's protocol with its surroundings, and a Thrift client written apart from its codec.
-use super::workers::{Act, Fleet};
-use super::{free_address, head, Daemon, Folder, PATIENCE};
+//! The daemon with its Thrift front, workers and command channel, and a Thrift client that shares no code with the daemon.
+use super::workers::{Behaviour, Fleet};
+use super::{free_address, head, Daemon, Folder, TEST_TIMEOUT};
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::io::{BufReader, Read, Write};
@@ -8,16 +8,17 @@
 use std::sync::mpsc::{channel, Sender};
 use std::time::{Duration, Instant};
 
-/// A command channel that a test speaks through.
+/// A command channel served by the test.
 pub struct Channel {
     pub address: SocketAddr,
     pub events: Sender<String>,
+    /// The `Last-Event-ID` header of each connection, empty if it has none.
     pub calls: std::sync::mpsc::Receiver<String>,
 }
 
 impl Channel {
-    /// Serves one connection after the other; a line `hang up` ends the present one, and one `fall silent` leaves it
-    /// open without another byte.
+    /// Serves one connection after the other. The event `hang up` closes the current one; `fall silent` leaves it open
+    /// and sends nothing more on it.
     pub fn new() -> Self {
         Self::at("127.0.0.1:0".parse().expect("address"))
     }
@@ -70,46 +71,47 @@
     json!({"cursor": cursor, "nodes": {"index": cursor, "snapshot": whole, "endpoints": endpoints}})
 }
 
-/// The program with its surroundings.
-pub struct Bench {
+/// A daemon with a Thrift front, its workers and its command channel.
+pub struct Fixture {
     pub daemon: Daemon,
     pub fleet: Fleet,
     pub channel: Channel,
     pub hosts: Vec<SocketAddr>,
     pub config: serde_json::Value,
     pub folder: Folder,
-    /// Where operators call.
+    /// Address of the operators' API.
     pub admin: SocketAddr,
 }
 
-impl Bench {
-    pub fn new(script: &[Act], hosts: usize) -> Self {
-        Self::within(script, hosts, 1024)
+impl Fixture {
+    pub fn new(script: &[Behaviour], hosts: usize) -> Self {
+        Self::with_descriptor_limit(script, hosts, 1024)
     }
 
-    /// The same with no more than so many descriptors.
-    pub fn within(script: &[Act], hosts: usize, sockets: u32) -> Self {
-        Self::limited(script, hosts, sockets, 192)
+    /// Sets the `sockets` limit of the configuration.
+    pub fn with_descriptor_limit(script: &[Behaviour], hosts: usize, sockets: u32) -> Self {
+        Self::with_limits(script, hosts, sockets, 192)
     }
 
-    pub fn limited(script: &[Act], hosts: usize, sockets: u32, memory_mb: u32) -> Self {
-        Self::changed(script, hosts, sockets, memory_mb, |_| {})
+    /// Sets the `sockets` and `memory_mb` limits of the configuration.
+    pub fn with_limits(script: &[Behaviour], hosts: usize, sockets: u32, memory_mb: u32) -> Self {
+        Self::with_settings(script, hosts, sockets, memory_mb, |_| {})
     }
 
-    /// The same with settings that the test changes.
-    pub fn changed(
-        script: &[Act],
+    /// Like [`Fixture::with_limits`]; `change` edits the settings.
+    pub fn with_settings(
+        script: &[Behaviour],
         hosts: usize,
         sockets: u32,
         memory_mb: u32,
         change: impl FnOnce(&mut serde_json::Value),
     ) -> Self {
-        Self::started(script, hosts, (sockets, memory_mb), &[], change)
+        Self::with_environment(script, hosts, (sockets, memory_mb), &[], change)
     }
 
-    /// With limits on descriptors and memory in MB, more in the program's environment, and changed settings.
-    pub fn started(
-        script: &[Act],
+    /// Like [`Fixture::with_settings`], with additional environment variables. Limits are descriptors and memory in MB.
+    pub fn with_environment(
+        script: &[Behaviour],
         hosts: usize,
         (sockets, memory_mb): (u32, u32),
         environment: &[(&str, String)],
@@ -145,31 +147,31 @@
         let folder = Folder::new();
         let path = folder.write("config.json", &config.to_string());
         let daemon = Daemon::platform_with(&path, free_address(), environment);
-        Bench { daemon, fleet, channel, hosts, config, folder, admin }
+        Fixture { daemon, fleet, channel, hosts, config, folder, admin }
     }
 
     pub fn client(&self) -> Client {
         Client::new(self.daemon.address)
     }
 
-    /// Asks on a connection until a call is out at a worker; the sequence number of that one. The decisions may refuse
-    /// a call, on a machine that stands still for a moment for one; why is told by the counters and the log.
-    pub fn send_out(&self, client: &mut Client, id: u64, allow: &str) -> i32 {
+    /// Sends calls on a connection until a worker has received one, and returns its sequence number. The dispatcher may
+    /// refuse a call, for example when the machine stalls for a moment; the counters and the log are printed then.
+    pub fn send_until_dispatched(&self, client: &mut Client, id: u64, allow: &str) -> i32 {
         let before = self.fleet.sent().len();
         for seqid in 1..=3 {
             let id = format!("{:016x}", (id << 8) + seqid as u64);
             client.send(&dispatch(seqid, &fields("check", &id, allow), b"x"));
             let start = Instant::now();
-            while start.elapsed() < PATIENCE / 4 {
+            while start.elapsed() < TEST_TIMEOUT / 4 {
                 if self.fleet.sent().len() > before {
                     return seqid;
                 }
                 std::thread::sleep(Duration::from_millis(5));
             }
             self.daemon.signal("USR1");
-            println!("{id} did not go out: {:?}; log:\n{}", client.receive(), self.daemon.errors());
+            println!("{id} was not dispatched: {:?}; log:\n{}", client.receive(), self.daemon.errors());
         }
-        panic!("no call goes out");
+        panic!("no call was dispatched");
     }
 }
 
@@ -178,15 +180,15 @@
     dispatch(seqid, &fields("check", &format!("{id:016x}"), "8000"), b"x")
 }
 
-/// The message with which a client takes a request back.
+/// The message that cancels a request.
 pub fn cancel(seqid: i32) -> Vec<u8> {
     message(4, "cancelRequest", 0, &[&[8, 0, 1][..], &seqid.to_be_bytes(), &[0]].concat())
 }
 
-/// A Thrift client, written apart from the program's own codec.
+/// A Thrift client that doesn't use the daemon's codec.
 pub struct Client {
     pub socket: TcpStream,
-    /// Whether the last answer was good.
+    /// Whether the last answer had its success flag set.
     pub good: bool,
 }
 
@@ -235,11 +237,11 @@
         Self::connect(address).expect("connects")
     }
 
-    /// `None` where the connection is refused: so ends one that came to a listener just as that was closed, though
-    /// another listens at the same address.
+    /// Connects; `None` if the connection is refused. A connection that reaches a listener that is just being closed is
+    /// refused, even if another process listens on the same address.
     pub fn connect(address: SocketAddr) -> Option<Self> {
         let socket = TcpStream::connect(address).ok()?;
-        socket.set_read_timeout(Some(PATIENCE)).expect("set");
+        socket.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
         Some(Client { socket, good: false })
     }
 
@@ -247,7 +249,7 @@
         self.socket.write_all(bytes).expect("written");
     }
 
-    /// The next reply with its sequence number; `None` once the connection has ended.
+    /// Reads the next reply and its sequence number; `None` if the connection has ended.
     pub fn receive(&mut self) -> Option<(i32, Reply)> {
         let mut size = [0; 4];
         self.socket.read_exact(&mut size).ok()?;
@@ -276,7 +278,7 @@
                     assert_eq!(take(3), [11, 0, 1]);
                     let size = number(take(4)) as usize;
                     let body = take(size);
-                    // An empty map, then the flag.
+                    // An empty map, then the success flag.
                     assert_eq!(take(9), [13, 0, 2, 11, 11, 0, 0, 0, 0]);
                     self.good = take(4) == [2, 0, 3, 1];
                     Reply::Answer(body)
