--- a/crates/node/tests/support/workers.rs
+++ b/crates/node/tests/support/workers.rs
@@ -1,4 +1,4 @@
-//! Stand-in workers: each send takes the next act of a script that all workers of a test share.
+//! Fake workers. Each call that arrives takes the next behaviour from a script that all workers of a test share.
 use super::head;
 use corkbay_node::wire::frames::{code, Frame, FROM_INVOKER, FROM_WORKER};
 use std::collections::{HashMap, HashSet};
@@ -7,79 +7,86 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Duration, Instant};
 
-/// What a worker does with a call that has come whole.
+/// What a worker does with a call that it has received completely.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Act {
+pub enum Behaviour {
     Serve,
     Refuse,
     Miss,
     Error,
-    /// The connection breaks after the call has come whole.
+    /// Closes the connection after receiving the call.
     Reset,
-    /// Nothing is ever heard.
-    Silence,
-    /// Served once the test lets it.
+    /// Never answers.
+    NoAnswer,
+    /// Serves once the test calls [`Fleet::release`].
     Hold,
-    /// It has run, and its answer comes damaged.
-    Garbled,
-    /// It has run, and its answer stops short on a connection that stays open.
-    Cut,
-    /// It has run, and its answer is said to have 3 GB and keeps coming.
-    Huge,
-    /// It has run, and the connection ends within its answer.
-    Breaks(Within),
-    /// Lacks the model, and says so once more a little later.
+    /// Answers with corrupt bytes after the call has run.
+    CorruptAnswer,
+    /// Sends a part of the answer after the call has run and leaves the connection open.
+    TruncatedAnswer,
+    /// Announces an answer of 3 GB after the call has run and keeps sending.
+    OversizedAnswer,
+    /// Closes the connection at that offset of the answer, after the call has run.
+    DisconnectAt(AnswerOffset),
+    /// Answers that the model is not loaded, and repeats that answer after a delay.
     MissTwice,
-    /// Served, a little later.
-    Late,
-    /// The same, but not before a call with another body is out as well: whoever calls is always owed something.
-    BesideAnother,
-    /// Served with an answer that comes a byte at a time.
-    Bytewise,
-    /// Served with an answer as long as any that workers give.
-    Long,
+    /// Serves after [`DELAY`].
+    DelayedServe,
+    /// Serves after [`DELAY`] and not before a call with another body is in flight too, so that the invoker always has an
+    /// unanswered call.
+    ServeWithAnotherInFlight,
+    /// Serves and sends the answer one byte at a time.
+    ServeBytewise,
+    /// Serves with an answer of [`LONG`] bytes, the longest that workers send.
+    LongAnswer,
 }
 
-/// Where an answer breaks off.
+/// Where in its answer a worker closes the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Within {
+pub enum AnswerOffset {
     /// Before its first byte.
-    Nothing,
-    /// In its head, before the length is told.
-    Head,
-    /// After its head, before the first byte of its body.
-    Length,
-    Body,
-    /// One byte before its end.
-    End,
+    Start,
+    /// In the head, before the length has been sent.
+    InHead,
+    /// After the head, before the first byte of the body.
+    AfterHead,
+    InBody,
+    /// One byte before the end.
+    BeforeLastByte,
 }
 
-impl Within {
-    /// All of them.
-    pub const ALL: [Within; 5] = [Within::Nothing, Within::Head, Within::Length, Within::Body, Within::End];
-
-    /// How many bytes of an answer with such a head come.
-    fn bytes(self, head: usize, whole: usize) -> usize {
+impl AnswerOffset {
+    /// All offsets.
+    pub const ALL: [AnswerOffset; 5] = [
+        AnswerOffset::Start,
+        AnswerOffset::InHead,
+        AnswerOffset::AfterHead,
+        AnswerOffset::InBody,
+        AnswerOffset::BeforeLastByte,
+    ];
+
+    /// Number of bytes that are sent of an answer, given the length of its head and its total length.
+    fn bytes(self, head: usize, total: usize) -> usize {
         match self {
-            Within::Nothing => 0,
-            Within::Head => head / 2,
-            Within::Length => head,
-            Within::Body => (head + whole) / 2,
-            Within::End => whole - 1,
+            AnswerOffset::Start => 0,
+            AnswerOffset::InHead => head / 2,
+            AnswerOffset::AfterHead => head,
+            AnswerOffset::InBody => (head + total) / 2,
+            AnswerOffset::BeforeLastByte => total - 1,
         }
     }
 }
 
-/// Bytes of a long answer.
+/// Body length of [`Behaviour::LongAnswer`].
 pub const LONG: usize = 230_000;
 
 /// Bytes before the fields of a frame.
-const HEAD: usize = 16;
+const FRAME_HEADER_BYTES: usize = 16;
 
-/// What comes a little later comes so much later.
-const LATER: Duration = Duration::from_millis(150);
+/// Delay of delayed answers and of loads.
+const DELAY: Duration = Duration::from_millis(150);
 
-/// A call that came to a worker.
+/// A call that a worker received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Sent {
     pub worker: String,
@@ -89,35 +96,36 @@
 
 #[derive(Default)]
 struct Shared {
-    script: Vec<Act>,
+    script: Vec<Behaviour>,
     sent: Vec<Sent>,
-    /// When orders to load came whole.
-    ordered: Vec<Instant>,
-    /// Connections are read late, and break after some frames.
-    rough: bool,
-    /// Workers have only what they were ordered to load: what each holds, where that is kept.
-    stands: Option<HashSet<(String, String)>>,
-    /// Orders to load are answered once the test lets go of what is held.
+    /// Arrival times of load orders.
+    load_orders: Vec<Instant>,
+    /// New connections are read after a delay and closed after some frames.
+    is_unreliable: bool,
+    /// The loaded models as worker and model; `None` if every worker is taken to have every model.
+    loaded_models: Option<HashSet<(String, String)>>,
+    /// Load orders are answered only after [`Fleet::release`].
     holds_loads: bool,
-    /// Answers by key: a rack drops repeats.
-    served: HashMap<String, Vec<u8>>,
+    /// Answers by idempotency key: the workers of a cell deduplicate repeated calls.
+    answers_by_key: HashMap<String, Vec<u8>>,
     runs: usize,
-    called_off: usize,
+    cancelled: usize,
     released: bool,
-    /// Bodies of the calls that wait for another one beside them, and of those that did.
+    /// Bodies of the calls that wait for another call to be in flight.
     waiting: Vec<Vec<u8>>,
+    /// Bodies of the calls that have finished this wait.
     waited: HashSet<Vec<u8>>,
 }
 
-/// What the workers of a test share.
+/// The workers of a test and the state that they share.
 #[derive(Clone, Default)]
 pub struct Fleet {
     shared: Arc<(Mutex<Shared>, Condvar)>,
 }
 
 impl Fleet {
-    /// The last act goes for all further sends.
-    pub fn new(script: &[Act]) -> Self {
+    /// The last behaviour of the script applies to all further calls.
+    pub fn new(script: &[Behaviour]) -> Self {
         let fleet = Fleet::default();
         fleet.shared.0.lock().expect("whole").script = script.to_vec();
         fleet
@@ -127,90 +135,91 @@
         self.shared.0.lock().expect("whole").sent.clone()
     }
 
-    /// When orders to load came whole.
-    pub fn ordered(&self) -> Vec<Instant> {
-        self.shared.0.lock().expect("whole").ordered.clone()
+    /// Arrival times of load orders.
+    pub fn load_orders(&self) -> Vec<Instant> {
+        self.shared.0.lock().expect("whole").load_orders.clone()
     }
 
-    /// From now on connections are read late, each by up to 0.12 s, and break after every ninth frame.
-    pub fn rough(&self) {
-        self.shared.0.lock().expect("whole").rough = true;
+    /// From now on each new connection is read after up to 0.12 s and closed at its tenth frame.
+    pub fn make_connections_unreliable(&self) {
+        self.shared.0.lock().expect("whole").is_unreliable = true;
     }
 
-    /// From now on a worker lacks what it was not ordered to load; a load takes a little.
-    pub fn lack_all(&self) {
-        self.shared.0.lock().expect("whole").stands = Some(HashSet::new());
+    /// From now on a worker has only the models that it was ordered to load; a load takes [`DELAY`].
+    pub fn require_load_orders(&self) {
+        self.shared.0.lock().expect("whole").loaded_models = Some(HashSet::new());
     }
 
-    /// Whether that worker has that model.
-    fn has(&self, worker: &str, frame: &Frame) -> bool {
+    /// Whether the worker has loaded the model that the frame names.
+    fn has_model(&self, worker: &str, frame: &Frame) -> bool {
         let key = (worker.to_string(), frame.field("obj").unwrap_or_default().to_string());
-        self.shared.0.lock().expect("whole").stands.as_ref().is_none_or(|stands| stands.contains(&key))
+        self.shared.0.lock().expect("whole").loaded_models.as_ref().is_none_or(|loaded| loaded.contains(&key))
     }
 
-    fn loaded(&self, worker: &str, frame: &Frame) {
-        let keeps = self.shared.0.lock().expect("whole").stands.is_some();
-        if keeps {
-            std::thread::sleep(LATER);
+    fn finish_load(&self, worker: &str, frame: &Frame) {
+        let tracks_loads = self.shared.0.lock().expect("whole").loaded_models.is_some();
+        if tracks_loads {
+            std::thread::sleep(DELAY);
         }
         let key = (worker.to_string(), frame.field("obj").unwrap_or_default().to_string());
         self.shared
             .0
             .lock()
             .expect("whole")
-            .stands
+            .loaded_models
             .iter_mut()
-            .for_each(|stands| _ = stands.insert(key.clone()));
+            .for_each(|loaded| _ = loaded.insert(key.clone()));
     }
 
-    /// From now on orders to load are answered once held calls are released.
+    /// From now on load orders are answered only after [`Fleet::release`].
     pub fn hold_loads(&self) {
         self.shared.0.lock().expect("whole").holds_loads = true;
     }
 
-    /// Calls that were carried out, repeats of a key left out.
+    /// Number of executed calls; a repeated key is executed once.
     pub fn runs(&self) -> usize {
         self.shared.0.lock().expect("whole").runs
     }
 
-    pub fn called_off(&self) -> usize {
-        self.shared.0.lock().expect("whole").called_off
+    pub fn cancelled(&self) -> usize {
+        self.shared.0.lock().expect("whole").cancelled
     }
 
-    /// Lets held calls be served.
+    /// Lets held calls and load orders be answered.
     pub fn release(&self) {
         self.shared.0.lock().expect("whole").released = true;
         self.shared.1.notify_all();
     }
 
-    fn take(&self, worker: &str, key: Option<String>, body: &[u8]) -> Act {
+    fn next_behaviour(&self, worker: &str, key: Option<String>, body: &[u8]) -> Behaviour {
         let mut shared = self.shared.0.lock().expect("whole");
-        let act = shared.script[shared.sent.len().min(shared.script.len() - 1)];
+        let behaviour = shared.script[shared.sent.len().min(shared.script.len() - 1)];
         shared.sent.push(Sent { worker: worker.to_string(), key, body: body.to_vec() });
-        act
+        behaviour
     }
 
     fn run(&self, key: Option<&String>, body: &[u8]) -> Vec<u8> {
         let mut shared = self.shared.0.lock().expect("whole");
-        if let Some(known) = key.and_then(|key| shared.served.get(key)) {
+        if let Some(known) = key.and_then(|key| shared.answers_by_key.get(key)) {
             return known.clone();
         }
         shared.runs += 1;
         let answer = [b"done: ", body].concat();
         if let Some(key) = key {
-            shared.served.insert(key.clone(), answer.clone());
+            shared.answers_by_key.insert(key.clone(), answer.clone());
         }
         answer
     }
 
-    fn hold(&self) {
+    fn wait_for_release(&self) {
         let shared = self.shared.0.lock().expect("whole");
-        let wait = self.shared.1.wait_timeout_while(shared, super::PATIENCE, |shared| !shared.released);
+        let wait = self.shared.1.wait_timeout_while(shared, super::TEST_TIMEOUT, |shared| !shared.released);
         drop(wait.expect("whole"));
     }
 
-    /// Waits a little, and until a call with another body waits, too. A second copy of one that did waits no longer.
-    fn wait_beside_another(&self, body: &[u8]) {
+    /// Waits for [`DELAY`] and until a call with another body waits too. A repeat of a call that has waited only waits for
+    /// the delay.
+    fn wait_for_another_call(&self, body: &[u8]) {
         {
             let mut shared = self.shared.0.lock().expect("whole");
             if !shared.waited.contains(body) && !shared.waiting.iter().any(|waiting| waiting == body) {
@@ -218,33 +227,33 @@
             }
             self.shared.1.notify_all();
         }
-        std::thread::sleep(LATER);
+        std::thread::sleep(DELAY);
         let shared = self.shared.0.lock().expect("whole");
         let is_alone = |shared: &mut Shared| shared.waiting.len() == 1 && shared.waiting[0] == body;
-        let wait = self.shared.1.wait_timeout_while(shared, super::PATIENCE, is_alone);
+        let wait = self.shared.1.wait_timeout_while(shared, super::TEST_TIMEOUT, is_alone);
         let mut shared = wait.expect("whole").0;
         shared.waiting.retain(|waiting| waiting != body);
         shared.waited.insert(body.to_vec());
     }
 
-    fn note_called_off(&self) {
-        self.shared.0.lock().expect("whole").called_off += 1;
+    fn record_cancelled(&self) {
+        self.shared.0.lock().expect("whole").cancelled += 1;
     }
 
-    /// A worker that speaks the invoke API, in whichever style it is called.
+    /// Starts a worker with the HTTP API, synchronous and deferred.
     pub fn http(&self, worker: &str) -> SocketAddr {
         let (fleet, worker) = (self.clone(), worker.to_string());
         let jobs: Arc<Mutex<Vec<Job>>> = Arc::default();
-        listen(move |socket| fleet.converse(&worker, &jobs, socket))
+        listen(move |socket| fleet.serve_http(&worker, &jobs, socket))
     }
 
-    /// A worker that speaks binary frames.
+    /// Starts a worker with the binary frame protocol.
     pub fn frames(&self, worker: &str) -> SocketAddr {
         let (fleet, worker) = (self.clone(), worker.to_string());
-        listen(move |socket| fleet.frame_by_frame(&worker, socket))
+        listen(move |socket| fleet.serve_frames(&worker, socket))
     }
 
-    fn converse(&self, worker: &str, jobs: &Mutex<Vec<Job>>, socket: TcpStream) {
+    fn serve_http(&self, worker: &str, jobs: &Mutex<Vec<Job>>, socket: TcpStream) {
         let mut reader = BufReader::new(socket.try_clone().expect("cloned"));
         let Some((first, headers)) = head(&mut reader) else { return };
         let size = headers.get("content-length").and_then(|size| size.parse().ok()).unwrap_or(0);
@@ -257,90 +266,93 @@
         match (words[0], words[1]) {
             ("POST", path) if path.starts_with("/v1/functions/") => {
                 let key = headers.get("idempotency-key").cloned();
-                let job = Job { act: self.take(worker, key.clone(), &body), key, body };
+                let job = Job { behaviour: self.next_behaviour(worker, key.clone(), &body), key, body };
                 if headers.get("prefer").is_some_and(|prefer| prefer == "respond-async") {
                     let mut jobs = jobs.lock().expect("whole");
                     jobs.push(job);
                     let location = format!("Location: /v1/invocations/{}\r\n", jobs.len() - 1);
                     respond(&socket, 202, &location, b"");
                 } else {
-                    self.perform(&job, socket, reader);
+                    self.execute(&job, socket, reader);
                 }
             }
             ("GET", path) => {
                 let job = number(path).and_then(|at| jobs.lock().expect("whole").get(at).cloned());
-                self.perform(&job.expect("a job that was handed over"), socket, reader);
+                self.execute(&job.expect("an accepted job"), socket, reader);
             }
             _ => {
-                self.note_called_off();
+                self.record_cancelled();
                 respond(&socket, 204, "", b"");
             }
         }
     }
 
-    fn perform(&self, job: &Job, socket: TcpStream, mut reader: BufReader<TcpStream>) {
+    fn execute(&self, job: &Job, socket: TcpStream, mut reader: BufReader<TcpStream>) {
         let not_run = "Corkbay-May-Have-Run: false\r\n";
-        match job.act {
-            Act::Serve => respond(&socket, 200, "", &self.run(job.key.as_ref(), &job.body)),
-            Act::Refuse => respond(&socket, 503, not_run, b""),
-            Act::Miss => respond(&socket, 404, not_run, b""),
-            Act::Error => respond(&socket, 500, "", b""),
-            Act::Reset => drop(socket),
-            // Until the caller leaves.
-            Act::Silence => _ = reader.fill_buf().map(<[u8]>::len),
-            Act::Garbled => _ = (&socket).write_all(b"HTTP/1.1 2\x00\x01 OK\r\nContent-Length: 0\r\n\r\n"),
-            Act::Cut | Act::Huge => {
+        match job.behaviour {
+            Behaviour::Serve => respond(&socket, 200, "", &self.run(job.key.as_ref(), &job.body)),
+            Behaviour::Refuse => respond(&socket, 503, not_run, b""),
+            Behaviour::Miss => respond(&socket, 404, not_run, b""),
+            Behaviour::Error => respond(&socket, 500, "", b""),
+            Behaviour::Reset => drop(socket),
+            // Waits until the caller closes the connection.
+            Behaviour::NoAnswer => _ = reader.fill_buf().map(<[u8]>::len),
+            Behaviour::CorruptAnswer => {
+                _ = (&socket).write_all(b"HTTP/1.1 2\x00\x01 OK\r\nContent-Length: 0\r\n\r\n")
+            }
+            Behaviour::TruncatedAnswer | Behaviour::OversizedAnswer => {
                 let _ = (&socket).write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n");
-                while job.act == Act::Huge && (&socket).write_all(&[7; 4096]).is_ok() {}
+                while job.behaviour == Behaviour::OversizedAnswer && (&socket).write_all(&[7; 4096]).is_ok() {
+                }
                 _ = reader.fill_buf().map(<[u8]>::len);
             }
-            Act::Breaks(within) => {
+            Behaviour::DisconnectAt(within) => {
                 let head = "HTTP/1.1 200 OK\r\nContent-Length: 40\r\n\r\n";
                 let answer = [head.as_bytes(), &[b'a'; 40]].concat();
                 let _ = (&socket).write_all(&answer[..within.bytes(head.len(), answer.len())]);
             }
-            Act::MissTwice => respond(&socket, 404, not_run, b""),
-            Act::Late => {
-                std::thread::sleep(LATER);
+            Behaviour::MissTwice => respond(&socket, 404, not_run, b""),
+            Behaviour::DelayedServe => {
+                std::thread::sleep(DELAY);
                 respond(&socket, 200, "", &self.run(job.key.as_ref(), &job.body));
             }
-            Act::BesideAnother => {
-                self.wait_beside_another(&job.body);
+            Behaviour::ServeWithAnotherInFlight => {
+                self.wait_for_another_call(&job.body);
                 respond(&socket, 200, "", &self.run(job.key.as_ref(), &job.body));
             }
-            Act::Bytewise => {
+            Behaviour::ServeBytewise => {
                 let body = self.run(job.key.as_ref(), &job.body);
                 let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
                 byte_by_byte(&socket, &[head.as_bytes(), &body].concat());
             }
-            Act::Long => {
+            Behaviour::LongAnswer => {
                 self.run(job.key.as_ref(), &job.body);
                 respond(&socket, 200, "", &[b'l'; LONG]);
             }
-            Act::Hold => {
-                self.hold();
+            Behaviour::Hold => {
+                self.wait_for_release();
                 respond(&socket, 200, "", &self.run(job.key.as_ref(), &job.body));
             }
         }
     }
 
-    /// Answers with what is no good frame.
-    fn spoil(&self, act: Act, socket: &mut TcpStream, id: u64) {
+    /// Sends bytes that are no valid frame.
+    fn send_invalid_answer(&self, behaviour: Behaviour, socket: &mut TcpStream, id: u64) {
         let (mark, body, fields) = (FROM_WORKER, b"answer".to_vec(), String::new());
         let mut bytes = Frame { mark, code: code::OK, id, fields, body }.encode();
-        match act {
-            Act::Garbled => *bytes.last_mut().expect("a check") ^= 1,
-            Act::Cut => bytes.truncate(18),
+        match behaviour {
+            Behaviour::CorruptAnswer => *bytes.last_mut().expect("a check") ^= 1,
+            Behaviour::TruncatedAnswer => bytes.truncate(18),
             _ => bytes[4..8].copy_from_slice(&3_000_000_000u32.to_be_bytes()),
         }
         let _ = socket.write_all(&bytes);
-        while act == Act::Huge && socket.write_all(&[7; 4096]).is_ok() {}
+        while behaviour == Behaviour::OversizedAnswer && socket.write_all(&[7; 4096]).is_ok() {}
     }
 
-    fn frame_by_frame(&self, worker: &str, mut socket: TcpStream) {
+    fn serve_frames(&self, worker: &str, mut socket: TcpStream) {
         let (mut buffer, mut chunk, mut frames) = (Vec::new(), [0; 4096], 0);
-        let rough = self.shared.0.lock().expect("whole").rough;
-        if rough {
+        let is_unreliable = self.shared.0.lock().expect("whole").is_unreliable;
+        if is_unreliable {
             let port = socket.peer_addr().map_or(0, |address| address.port());
             std::thread::sleep(Duration::from_millis(u64::from(port) * 37 % 120));
         }
@@ -361,82 +373,85 @@
                 let _ = socket.write_all(&answer.encode());
             };
             frames += 1;
-            if rough && frames % 10 == 0 {
+            if is_unreliable && frames % 10 == 0 {
                 return;
             }
             match frame.code {
-                code::GIVE_UP => self.note_called_off(),
+                code::GIVE_UP => self.record_cancelled(),
                 code::LOAD => {
                     if frame.field("replicas") != Some("0") {
                         let mut shared = self.shared.0.lock().expect("whole");
-                        shared.ordered.push(Instant::now());
-                        let holds = shared.holds_loads;
+                        shared.load_orders.push(Instant::now());
+                        let holds_loads = shared.holds_loads;
                         drop(shared);
-                        if holds {
-                            self.hold();
+                        if holds_loads {
+                            self.wait_for_release();
                         }
-                        self.loaded(worker, &frame);
+                        self.finish_load(worker, &frame);
                     }
-                    answer(if self.has(worker, &frame) { code::OK } else { code::FULL }, Vec::new());
+                    answer(if self.has_model(worker, &frame) { code::OK } else { code::FULL }, Vec::new());
                 }
-                code::REQUEST if !self.has(worker, &frame) => answer(code::MISS, Vec::new()),
+                code::REQUEST if !self.has_model(worker, &frame) => answer(code::MISS, Vec::new()),
                 code::REQUEST => {
                     let key = frame.field("token").map(str::to_string);
-                    let act = self.take(worker, key.clone(), &frame.body);
-                    match act {
-                        Act::Serve => answer(code::OK, self.run(key.as_ref(), &frame.body)),
-                        Act::Refuse => answer(code::FULL, Vec::new()),
-                        Act::Miss => answer(code::MISS, Vec::new()),
-                        Act::Error => answer(code::ERROR, Vec::new()),
-                        Act::Reset => return,
-                        Act::Silence => {}
-                        Act::Breaks(within) => {
+                    let behaviour = self.next_behaviour(worker, key.clone(), &frame.body);
+                    match behaviour {
+                        Behaviour::Serve => answer(code::OK, self.run(key.as_ref(), &frame.body)),
+                        Behaviour::Refuse => answer(code::FULL, Vec::new()),
+                        Behaviour::Miss => answer(code::MISS, Vec::new()),
+                        Behaviour::Error => answer(code::ERROR, Vec::new()),
+                        Behaviour::Reset => return,
+                        Behaviour::NoAnswer => {}
+                        Behaviour::DisconnectAt(within) => {
                             let (mark, fields) = (FROM_WORKER, String::new());
                             let body = vec![b'a'; 40];
                             let answer = Frame { mark, code: code::OK, id: frame.id, fields, body }.encode();
-                            let _ = socket.write_all(&answer[..within.bytes(HEAD, answer.len())]);
+                            let _ =
+                                socket.write_all(&answer[..within.bytes(FRAME_HEADER_BYTES, answer.len())]);
                             return;
                         }
-                        Act::Garbled | Act::Cut | Act::Huge => {
-                            self.spoil(act, &mut socket, frame.id);
-                            if act == Act::Garbled {
+                        Behaviour::CorruptAnswer
+                        | Behaviour::TruncatedAnswer
+                        | Behaviour::OversizedAnswer => {
+                            self.send_invalid_answer(behaviour, &mut socket, frame.id);
+                            if behaviour == Behaviour::CorruptAnswer {
                                 continue;
                             }
                             let _ = socket.read(&mut chunk);
                             return;
                         }
-                        Act::MissTwice => {
+                        Behaviour::MissTwice => {
                             answer(code::MISS, Vec::new());
-                            std::thread::sleep(LATER / 2);
+                            std::thread::sleep(DELAY / 2);
                             answer(code::MISS, Vec::new());
                         }
-                        Act::Late => {
-                            std::thread::sleep(LATER);
+                        Behaviour::DelayedServe => {
+                            std::thread::sleep(DELAY);
                             answer(code::OK, self.run(key.as_ref(), &frame.body));
                         }
-                        // What waits must not keep the next frame from being read.
-                        Act::BesideAnother => {
+                        // Waits on another thread, so that the next frame is read meanwhile.
+                        Behaviour::ServeWithAnotherInFlight => {
                             let (fleet, mut socket) = (self.clone(), socket.try_clone().expect("cloned"));
                             std::thread::spawn(move || {
-                                fleet.wait_beside_another(&frame.body);
+                                fleet.wait_for_another_call(&frame.body);
                                 let (mark, fields) = (FROM_WORKER, String::new());
                                 let body = fleet.run(key.as_ref(), &frame.body);
                                 let answer = Frame { mark, code: code::OK, id: frame.id, fields, body };
                                 let _ = socket.write_all(&answer.encode());
                             });
                         }
-                        Act::Bytewise => {
+                        Behaviour::ServeBytewise => {
                             let (mark, fields) = (FROM_WORKER, String::new());
                             let body = self.run(key.as_ref(), &frame.body);
                             let answer = Frame { mark, code: code::OK, id: frame.id, fields, body };
                             byte_by_byte(&socket, &answer.encode());
                         }
-                        Act::Long => {
+                        Behaviour::LongAnswer => {
                             self.run(key.as_ref(), &frame.body);
                             answer(code::OK, vec![b'l'; LONG]);
                         }
-                        Act::Hold => {
-                            self.hold();
+                        Behaviour::Hold => {
+                            self.wait_for_release();
                             answer(code::OK, self.run(key.as_ref(), &frame.body));
                         }
                     }
@@ -459,7 +474,7 @@
 
 #[derive(Clone)]
 struct Job {
-    act: Act,
+    behaviour: Behaviour,
     key: Option<String>,
     body: Vec<u8>,
 }
--- a/crates/node/tests/system_calls.rs
+++ b/crates/node/tests/system_calls.rs
@@ -5,8 +5,8 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 use support::faults::{Call, Faults};
-use support::platform::{dispatch, fields, Bench, Reply};
-use support::workers::{Act, Fleet};
+use support::platform::{dispatch, fields, Fixture, Reply};
+use support::workers::{Behaviour, Fleet};
 use support::{ask, until, Daemon, Folder, Response, CLASSES};
 
 /// Error numbers as Linux has them.
@@ -28,7 +28,7 @@
 }
 
 impl Lasting {
-    fn new(script: &[Act]) -> Self {
+    fn new(script: &[Behaviour]) -> Self {
         let (faults, folder, fleet) = (Faults::new(), Folder::new(), Fleet::new(script));
         let worker = format!("[[worker]]\nname = \"w1\"\naddress = \"{}\"\n", fleet.http("w1"));
         let head = "node = \"n\"\nlisten = \"127.0.0.1:0\"\ndata_dir = \"data\"\n";
@@ -80,7 +80,7 @@
 /// Guards what was accepted against the rest of a write that failed and could not be cut off.
 #[test]
 fn what_was_accepted_lasts_where_a_failed_write_could_not_be_cut_off() {
-    let mut node = Lasting::new(&[Act::Serve]);
+    let mut node = Lasting::new(&[Behaviour::Serve]);
     node.settled(&node.accepted("check", "before"));
     node.faults.fail(Call::Sync, 1, EIO, 1);
     node.faults.fail(Call::Truncate, 1, EIO, 1);
@@ -96,7 +96,7 @@
 /// Guards the same where nothing can be cut off for a while: calls are refused, and taken again afterwards.
 #[test]
 fn calls_are_refused_while_the_log_cannot_be_mended_and_taken_again_afterwards() {
-    let mut node = Lasting::new(&[Act::Serve]);
+    let mut node = Lasting::new(&[Behaviour::Serve]);
     node.faults.fail(Call::FileWrite, 1, ENOSPC, u64::MAX);
     node.faults.fail(Call::Truncate, 1, EIO, u64::MAX);
     for number in 0..5 {
@@ -114,7 +114,7 @@
 /// Guards what is accepted behind a compaction of the log whose last step failed.
 #[test]
 fn what_is_accepted_behind_a_compaction_that_failed_at_its_end_lasts() {
-    let mut node = Lasting::new(&[Act::Serve]);
+    let mut node = Lasting::new(&[Behaviour::Serve]);
     let put = |memory: usize| {
         let body = format!("{{\"class\":\"check\",\"memory_mb\":{memory},\"lanes\":1}}");
         let path = format!("/v1/functions/{}", "f".repeat(100));
@@ -142,8 +142,9 @@
     for error in [EINTR, ENFILE, EMFILE, ENOBUFS] {
         let faults = Faults::new();
         faults.fail(Call::Socket, 1, error, 5);
-        let bench = Bench::started(&[Act::Serve], 1, (1024, 192), &faults.environment(), |_| {});
-        let mut client = bench.client();
+        let fixture =
+            Fixture::with_environment(&[Behaviour::Serve], 1, (1024, 192), &faults.environment(), |_| {});
+        let mut client = fixture.client();
         client.send(&dispatch(1, &fields("check", "00000000000000a1", "4000"), b"x"));
         let reply = client.receive();
         assert!(matches!(reply, Some((1, Reply::Answer(_)))), "{error}: {reply:?}");
@@ -165,8 +166,9 @@
         (Call::Wait, EINTR),
     ] {
         let faults = Faults::new();
-        let bench = Bench::started(&[Act::Serve], 2, (1024, 192), &faults.environment(), |_| {});
-        let mut client = bench.client();
+        let fixture =
+            Fixture::with_environment(&[Behaviour::Serve], 2, (1024, 192), &faults.environment(), |_| {});
+        let mut client = fixture.client();
         faults.fail(call, 2, error, u64::MAX);
         for seqid in 1..=REQUESTS {
             client.send(&dispatch(seqid, &fields("check", &format!("{seqid:016x}"), "4000"), b"x"));
--- a/crates/node/tests/terms.rs
+++ b/crates/node/tests/terms.rs
@@ -5,11 +5,11 @@
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
-use support::late::{request_frames, LateListener};
-use support::leaving::{Failing, Front, HoldingWorker, Leaver, Leaving, Site};
-use support::platform::{check, dispatch, fields, nodes, Bench, Channel, Client, Reply};
-use support::workers::Act;
-use support::{ask, free_address, receive, until, Daemon, PATIENCE};
+use support::late::{request_frames, SlowAcceptListener};
+use support::leaving::{DepartingClient, Departure, FailureMode, Front, HoldingWorker, Site};
+use support::platform::{check, dispatch, fields, nodes, Channel, Client, Fixture, Reply};
+use support::workers::Behaviour;
+use support::{ask, free_address, receive, until, Daemon, TEST_TIMEOUT};
 
 /// No attempt begins later than that after its client has gone.
 const GONE: Duration = Duration::from_millis(100);
@@ -17,24 +17,24 @@
 const LONG_ENOUGH: Duration = Duration::from_millis(500);
 
 /// Ways of leaving, in groups that leave a place for a client that stays: a new worker is given four requests at a time.
-const GROUPS: [(Front, &[Leaving]); 5] = [
-    (Front::Platform, &[Leaving::Cancels, Leaving::Closes, Leaving::Resets]),
-    (Front::Platform, &[Leaving::HalfCloses, Leaving::ClosesBehindSecond]),
-    (Front::Platform, &[Leaving::CancelsBefore, Leaving::ClosesBehindPart]),
-    (Front::Http, &[Leaving::Closes, Leaving::Resets, Leaving::HalfCloses]),
-    (Front::Http, &[Leaving::ClosesBehindSecond, Leaving::ClosesBehindPart]),
+const GROUPS: [(Front, &[Departure]); 5] = [
+    (Front::Platform, &[Departure::Cancels, Departure::Closes, Departure::Resets]),
+    (Front::Platform, &[Departure::HalfCloses, Departure::ClosesAfterSecond]),
+    (Front::Platform, &[Departure::CancelsBeforeSecond, Departure::ClosesAfterPartialRequest]),
+    (Front::Http, &[Departure::Closes, Departure::Resets, Departure::HalfCloses]),
+    (Front::Http, &[Departure::ClosesAfterSecond, Departure::ClosesAfterPartialRequest]),
 ];
 
 /// Lets them leave, and the time go by in which an attempt may still begin.
-fn leave(leavers: Vec<Leaver>) -> Vec<Option<TcpStream>> {
-    let left = leavers.into_iter().map(Leaver::leave).collect();
+fn leave(leavers: Vec<DepartingClient>) -> Vec<Option<TcpStream>> {
+    let left = leavers.into_iter().map(DepartingClient::leave).collect();
     std::thread::sleep(GONE);
     left
 }
 
 /// Requests that reach a worker at the same time: a second one on an HTTP connection waits for the first.
-fn open(front: Front, ways: &[Leaving]) -> u64 {
-    let two = |way: &&Leaving| matches!(way, Leaving::CancelsBefore | Leaving::ClosesBehindSecond);
+fn open(front: Front, ways: &[Departure]) -> u64 {
+    let two = |way: &&Departure| matches!(way, Departure::CancelsBeforeSecond | Departure::ClosesAfterSecond);
     let second = if front == Front::Platform { ways.iter().filter(two).count() } else { 0 };
     (ways.len() + second) as u64
 }
@@ -52,7 +52,8 @@
     for (front, ways) in GROUPS {
         let mut site = Site::new(front);
         let worker = site.fleet.frames("h1");
-        let leavers: Vec<Leaver> = ways.iter().map(|way| site.ask_and_leave(*way)).collect();
+        let leavers: Vec<DepartingClient> =
+            ways.iter().map(|way| site.send_and_prepare_departure(*way)).collect();
         let stayer = site.ask("stayer");
         site.until_counted("taken", open(front, ways) + 1);
         let _open = leave(leavers);
@@ -67,7 +68,8 @@
     for (front, ways) in GROUPS.into_iter().filter(|group| group.0 == Front::Platform) {
         let mut site = Site::new(front);
         let worker = site.fleet.frames("h1");
-        let leavers: Vec<Leaver> = ways.iter().map(|way| site.ask_and_leave(*way)).collect();
+        let leavers: Vec<DepartingClient> =
+            ways.iter().map(|way| site.send_and_prepare_departure(*way)).collect();
         let stayer = site.ask("stayer");
         site.until_counted("taken", open(front, ways) + 1);
         site.signal("STOP");
@@ -80,17 +82,18 @@
 }
 
 /// All requests out at one worker; the site, that worker, those who will leave and one who will stay.
-fn all_out(front: Front, ways: &[Leaving]) -> (Site, HoldingWorker, Vec<Leaver>, TcpStream) {
+fn all_out(front: Front, ways: &[Departure]) -> (Site, HoldingWorker, Vec<DepartingClient>, TcpStream) {
     let (mut site, holding) = (Site::new(front), HoldingWorker::new());
     site.set_worker("h0", holding.address, "up");
-    let leavers: Vec<Leaver> = ways.iter().map(|way| site.ask_and_leave(*way)).collect();
+    let leavers: Vec<DepartingClient> =
+        ways.iter().map(|way| site.send_and_prepare_departure(*way)).collect();
     let stayer = site.ask("stayer");
     let count = open(front, ways) as usize + 1;
     until("all are out", || holding.bodies().len() == count);
     (site, holding, leavers, stayer)
 }
 
-fn fails_once_its_client_has_gone(failing: Failing) {
+fn fails_once_its_client_has_gone(failing: FailureMode) {
     for (front, ways) in GROUPS {
         let (mut site, holding, leavers, stayer) = all_out(front, ways);
         let next = site.fleet.frames("h1");
@@ -106,17 +109,17 @@
 
 #[test]
 fn an_attempt_that_breaks_once_its_client_has_gone_is_the_last() {
-    fails_once_its_client_has_gone(Failing::Breaks);
+    fails_once_its_client_has_gone(FailureMode::Disconnect);
 }
 
 #[test]
 fn an_attempt_that_finds_no_room_once_its_client_has_gone_is_the_last() {
-    fails_once_its_client_has_gone(Failing::Full);
+    fails_once_its_client_has_gone(FailureMode::Full);
 }
 
 #[test]
 fn an_attempt_that_errs_once_its_client_has_gone_is_the_last() {
-    fails_once_its_client_has_gone(Failing::Errs);
+    fails_once_its_client_has_gone(FailureMode::Error);
 }
 
 /// The first attempt has failed and the next waits for a worker.
@@ -127,7 +130,7 @@
         let next = site.fleet.frames("h1");
         site.set_worker("h0", holding.address, "draining");
         std::thread::sleep(LONG_ENOUGH / 2);
-        holding.fail(Failing::Full);
+        holding.fail(FailureMode::Full);
         site.until_counted("lost_full", open(front, ways) + 1);
         let left_at = Instant::now();
         let _open = leave(leavers);
@@ -146,7 +149,7 @@
 fn first_served(address: SocketAddr, number: u64) -> Instant {
     let start = Instant::now();
     for attempt in 1..=u64::MAX {
-        assert!(start.elapsed() < PATIENCE, "never served again");
+        assert!(start.elapsed() < TEST_TIMEOUT, "never served again");
         if let Some(mut client) = Client::connect(address) {
             let sent = client.socket.write_all(&check(1, number << 32 | attempt)).is_ok();
             if sent && matches!(client.receive(), Some((1, Reply::Answer(_)))) {
@@ -163,15 +166,15 @@
 #[test]
 fn processes_that_were_killed_at_once_serve_again_in_time() {
     const CLIENTS: usize = 3;
-    let bench = Bench::new(&[Act::Serve], LISTED);
+    let fixture = Fixture::new(&[Behaviour::Serve], LISTED);
     let configure = |number: usize| {
-        let mut config = bench.config.clone();
+        let mut config = fixture.config.clone();
         config["name"] = json!(format!("n{number}"));
         config["admin"] = json!(free_address().to_string());
-        bench.folder.write(&format!("config{number}.json"), &config.to_string())
+        fixture.folder.write(&format!("config{number}.json"), &config.to_string())
     };
     let places: Vec<_> = (1..=KILLED).map(|number| (configure(number), free_address())).collect();
-    let start = |place: &(std::path::PathBuf, SocketAddr)| Daemon::beside(&place.0, place.1, &[]);
+    let start = |place: &(std::path::PathBuf, SocketAddr)| Daemon::spawn_platform(&place.0, place.1, &[]);
     let mut daemons: Vec<Daemon> = places.iter().map(start).collect();
     for (number, place) in places.iter().enumerate() {
         first_served(place.1, number as u64 + 1);
@@ -190,7 +193,7 @@
     let _daemons: Vec<Daemon> = places.iter().map(start).collect();
     let mut ready = vec![Duration::MAX; KILLED];
     for _ in 0..KILLED * CLIENTS {
-        let (process, at) = served.recv_timeout(PATIENCE).expect("each client is served");
+        let (process, at) = served.recv_timeout(TEST_TIMEOUT).expect("each client is served");
         ready[process] = ready[process].min(at - restarted);
     }
     ready.sort();
@@ -201,22 +204,22 @@
 /// Guards a reload that the operators' drain follows at once: the new channel's worker serves what is owed.
 #[test]
 fn a_reload_is_heeded_though_the_operators_drain_at_once() {
-    let bench = Bench::new(&[Act::Serve], 0);
-    let worker = bench.fleet.frames("h0");
-    let mut client = bench.client();
+    let fixture = Fixture::new(&[Behaviour::Serve], 0);
+    let worker = fixture.fleet.frames("h0");
+    let mut client = fixture.client();
     client.send(&check(1, 0xa1));
     until("it is taken", || {
-        bench.daemon.signal("USR1");
-        bench.daemon.errors().contains("taken=1 ")
+        fixture.daemon.signal("USR1");
+        fixture.daemon.errors().contains("taken=1 ")
     });
     let next = Channel::new();
-    let mut config = bench.config.clone();
+    let mut config = fixture.config.clone();
     config["channel"] = json!(next.address.to_string());
-    bench.folder.write("config.json", &config.to_string());
-    bench.daemon.signal("HUP");
-    assert_eq!(ask(bench.admin, "PUT", "/v1/invoker/drain", &[], b"").status, 200);
+    fixture.folder.write("config.json", &config.to_string());
+    fixture.daemon.signal("HUP");
+    assert_eq!(ask(fixture.admin, "PUT", "/v1/invoker/drain", &[], b"").status, 200);
     next.tell(2, "h0", worker, "up");
-    assert!(matches!(client.receive(), Some((1, Reply::Answer(_)))), "{}", bench.daemon.errors());
+    assert!(matches!(client.receive(), Some((1, Reply::Answer(_)))), "{}", fixture.daemon.errors());
     assert_eq!(client.receive(), None, "drained: it is let go once nothing is owed");
 }
 
@@ -224,37 +227,37 @@
 /// list that comes again: who is listed still keeps its open requests, and who is not gets no more.
 #[test]
 fn a_whole_list_behind_a_channel_that_says_nothing_is_heard() {
-    let bench = Bench::new(&[Act::Hold, Act::Serve], 2);
-    let mut client = bench.client();
+    let fixture = Fixture::new(&[Behaviour::Hold, Behaviour::Serve], 2);
+    let mut client = fixture.client();
     // A call of a keyed class is not called off for its silence.
     client.send(&dispatch(1, &fields("post", "00000000000000a1", "6000"), b"x"));
-    until("it is out", || !bench.fleet.sent().is_empty());
-    let holder = bench.fleet.sent()[0].worker.clone();
+    until("it is out", || !fixture.fleet.sent().is_empty());
+    let holder = fixture.fleet.sent()[0].worker.clone();
     let number = usize::from(holder == "h1");
-    let channel = LateListener::new();
-    let mut config = bench.config.clone();
+    let channel = SlowAcceptListener::new();
+    let mut config = fixture.config.clone();
     config["channel"] = json!(channel.address.to_string());
-    bench.folder.write("config.json", &config.to_string());
-    bench.daemon.signal("HUP");
+    fixture.folder.write("config.json", &config.to_string());
+    fixture.daemon.signal("HUP");
     let head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n:\n\n";
-    let mut first = channel.accept(PATIENCE).expect("the first call");
+    let mut first = channel.accept(TEST_TIMEOUT).expect("the first call");
     first.write_all(head.as_bytes()).expect("written");
     let fell_silent = Instant::now();
-    let _mute = channel.accept(PATIENCE).expect("called again");
-    let mut third = channel.accept(PATIENCE).expect("and again");
+    let _mute = channel.accept(TEST_TIMEOUT).expect("called again");
+    let mut third = channel.accept(TEST_TIMEOUT).expect("and again");
     println!("the third call came {:?} after the first fell silent", fell_silent.elapsed());
-    let whole = nodes(2, true, &[(&holder, bench.hosts[number], "up")]);
+    let whole = nodes(2, true, &[(&holder, fixture.hosts[number], "up")]);
     third.write_all(format!("{head}id: 2\ndata: {whole}\n\n").as_bytes()).expect("written");
     // Comments, so that this one doesn't fall silent.
     std::thread::sleep(LONG_ENOUGH);
     third.write_all(b":\n\n").expect("written");
-    bench.fleet.release();
+    fixture.fleet.release();
     assert!(matches!(client.receive(), Some((1, Reply::Answer(_)))));
     for seqid in 10..16 {
         client.send(&check(seqid, 0xb0 + seqid as u64));
         assert!(matches!(client.receive(), Some((_, Reply::Answer(_)))));
     }
-    let sent = bench.fleet.sent();
+    let sent = fixture.fleet.sent();
     assert!(sent.iter().all(|sent| sent.worker == holder), "{sent:?}");
 }
 
@@ -262,22 +265,22 @@
 /// process serves there.
 #[test]
 fn a_process_that_is_killed_right_after_an_accept_leaves_its_address_to_the_next() {
-    let mut bench = Bench::new(&[Act::Serve], 1);
-    let address = bench.daemon.address;
-    let mut early: Vec<Client> = (0..8).map(|_| bench.client()).collect();
-    bench.daemon.signal("STOP");
-    let mut late: Vec<Client> = (0..8).map(|_| bench.client()).collect();
+    let mut fixture = Fixture::new(&[Behaviour::Serve], 1);
+    let address = fixture.daemon.address;
+    let mut early: Vec<Client> = (0..8).map(|_| fixture.client()).collect();
+    fixture.daemon.signal("STOP");
+    let mut late: Vec<Client> = (0..8).map(|_| fixture.client()).collect();
     for client in early.iter_mut().chain(&mut late) {
         client.send(&check(1, 0xa1));
     }
-    bench.daemon.signal("CONT");
-    bench.daemon.child.kill().expect("own child");
-    bench.daemon.child.wait().expect("own child");
+    fixture.daemon.signal("CONT");
+    fixture.daemon.child.kill().expect("own child");
+    fixture.daemon.child.wait().expect("own child");
     for client in early.iter_mut().chain(&mut late) {
         let end = client.receive();
         assert!(matches!(end, None | Some((1, _))), "{end:?}");
     }
-    let _next = Daemon::beside(&bench.folder.0.join("config.json"), address, &[]);
+    let _next = Daemon::spawn_platform(&fixture.folder.0.join("config.json"), address, &[]);
     first_served(address, 0xb);
 }
 
@@ -291,8 +294,8 @@
 
 #[test]
 fn a_platform_request_that_is_split_anywhere_is_served() {
-    let bench = Bench::new(&[Act::Serve], 1);
-    let mut client = bench.client();
+    let fixture = Fixture::new(&[Behaviour::Serve], 1);
+    let mut client = fixture.client();
     for at in 1..check(1, 0xa1).len() {
         let seqid = at as i32;
         send_in_two(&mut client.socket, &check(seqid, 0x1000 + at as u64), at);
@@ -324,11 +327,11 @@
 
 #[test]
 fn an_operators_request_that_is_split_anywhere_is_answered() {
-    let bench = Bench::new(&[Act::Serve], 1);
-    until("it is ready", || ask(bench.admin, "GET", "/v1/readyz", &[], b"").status == 200);
+    let fixture = Fixture::new(&[Behaviour::Serve], 1);
+    until("it is ready", || ask(fixture.admin, "GET", "/v1/readyz", &[], b"").status == 200);
     let request = b"GET /v1/readyz HTTP/1.1\r\nHost: test\r\nConnection: close\r\n\r\n";
     for at in 1..request.len() {
-        let mut socket = TcpStream::connect(bench.admin).expect("connects");
+        let mut socket = TcpStream::connect(fixture.admin).expect("connects");
         send_in_two(&mut socket, request, at);
         assert_eq!(receive(&mut BufReader::new(socket)).status, 200, "{at}");
     }
@@ -340,19 +343,19 @@
 /// Guards the deadline that is passed on: it is what is left when the request goes out, not when it was decided on.
 #[test]
 fn a_worker_is_told_no_more_time_than_the_client_has_left() {
-    let worker = LateListener::new();
-    let bench = Bench::changed(&[Act::Serve], 0, 1024, 192, |settings| {
+    let worker = SlowAcceptListener::new();
+    let fixture = Fixture::with_settings(&[Behaviour::Serve], 0, 1024, 192, |settings| {
         settings["ceilings"]["connectTimeoutMs"] = json!(3000.0);
     });
     let _full = worker.fill();
-    bench.channel.tell(2, "h0", worker.address, "up");
-    let mut client = bench.client();
+    fixture.channel.tell(2, "h0", worker.address, "up");
+    let mut client = fixture.client();
     let allowed = Duration::from_millis(3500);
     let asked = Instant::now();
     client.send(&dispatch(1, &fields("check", "00000000000000a1", "3500"), b"x"));
     std::thread::sleep(LONG_ENOUGH);
-    worker.accept(PATIENCE).expect("what filled the queue");
-    let late = worker.accept(PATIENCE).expect("it comes up, a second late");
+    worker.accept(TEST_TIMEOUT).expect("what filled the queue");
+    let late = worker.accept(TEST_TIMEOUT).expect("it comes up, a second late");
     let frames = request_frames(&late, LONG_ENOUGH);
     let left = allowed.saturating_sub(asked.elapsed() - LONG_ENOUGH);
     let told = frames.first().and_then(|frame| frame.field("ms")).and_then(|ms| ms.parse().ok());
@@ -363,18 +366,18 @@
 /// Guards the same where the program stood still while the request lay unread.
 #[test]
 fn a_worker_is_told_no_more_time_than_is_left_behind_a_stopped_process() {
-    let worker = LateListener::new();
-    let bench = Bench::new(&[Act::Serve], 0);
-    bench.channel.tell(2, "h0", worker.address, "up");
-    let mut client = bench.client();
+    let worker = SlowAcceptListener::new();
+    let fixture = Fixture::new(&[Behaviour::Serve], 0);
+    fixture.channel.tell(2, "h0", worker.address, "up");
+    let mut client = fixture.client();
     // It is let in, and the worker is heard of.
     std::thread::sleep(LONG_ENOUGH);
-    bench.daemon.signal("STOP");
+    fixture.daemon.signal("STOP");
     let asked = Instant::now();
     client.send(&dispatch(1, &fields("check", "00000000000000a1", "3000"), b"x"));
     std::thread::sleep(2 * LONG_ENOUGH);
-    bench.daemon.signal("CONT");
-    let connection = worker.accept(PATIENCE).expect("the attempt");
+    fixture.daemon.signal("CONT");
+    let connection = worker.accept(TEST_TIMEOUT).expect("the attempt");
     let frames = request_frames(&connection, LONG_ENOUGH);
     let left = Duration::from_millis(3000).saturating_sub(asked.elapsed() - LONG_ENOUGH);
     let told = frames.first().and_then(|frame| frame.field("ms")).and_then(|ms| ms.parse().ok());
--- a/crates/node/tests/upgrade.rs
+++ b/crates/node/tests/upgrade.rs
@@ -7,18 +7,18 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
-use support::platform::{dispatch, fields, message, Bench, Client, Reply};
-use support::workers::Act;
+use support::platform::{dispatch, fields, message, Client, Fixture, Reply};
+use support::workers::Behaviour;
 use support::{ask, free_address, until, Daemon};
 
 /// The advice of a process that takes no more requests, in milliseconds.
 const DRAINING: &str = "200";
 
 /// A second process at the same address, with operators' calls at one of its own.
-fn successor(bench: &Bench) -> (Daemon, SocketAddr) {
+fn successor(fixture: &Fixture) -> (Daemon, SocketAddr) {
     let admin = free_address();
-    let config = bench.folder.0.join("config.json");
-    (Daemon::beside(&config, bench.daemon.address, &[("PROXY_ADMIN", admin.to_string())]), admin)
+    let config = fixture.folder.0.join("config.json");
+    (Daemon::spawn_platform(&config, fixture.daemon.address, &[("PROXY_ADMIN", admin.to_string())]), admin)
 }
 
 fn status(admin: SocketAddr, method: &str, path: &str) -> Option<u16> {
@@ -39,8 +39,8 @@
 /// lose no request, are answered once each, and end up with the new process; the old one ends early and with 0.
 #[test]
 fn no_request_is_lost_while_a_successor_takes_over() {
-    let mut bench = Bench::new(&[Act::Serve], 3);
-    let address = bench.daemon.address;
+    let mut fixture = Fixture::new(&[Behaviour::Serve], 3);
+    let address = fixture.daemon.address;
     let (stop, count) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU64::new(0)));
     let clients: Vec<_> = (0..8u64)
         .map(|client| {
@@ -82,10 +82,10 @@
         })
         .collect();
     until("clients are served", || count.load(Ordering::Relaxed) > 100);
-    let (next, admin) = successor(&bench);
+    let (next, admin) = successor(&fixture);
     until_ready(admin);
-    bench.daemon.signal("TERM");
-    assert_eq!(bench.daemon.exit_code(), Some(0), "{}", bench.daemon.errors());
+    fixture.daemon.signal("TERM");
+    assert_eq!(fixture.daemon.exit_code(), Some(0), "{}", fixture.daemon.errors());
     let served = count.load(Ordering::Relaxed);
     until("the successor serves", || count.load(Ordering::Relaxed) > served + 200);
     stop.store(true, Ordering::Relaxed);
@@ -102,8 +102,8 @@
 /// Workers keep one request out at any time, so that the connection is not idle either where the client has no turn for long.
 #[test]
 fn a_connection_that_is_never_idle_passes_to_the_successor() {
-    let mut bench = Bench::new(&[Act::BesideAnother], 3);
-    let mut client = bench.client();
+    let mut fixture = Fixture::new(&[Behaviour::ServeWithAnotherInFlight], 3);
+    let mut client = fixture.client();
     let ask = |client: &mut Client, seqid: i32| {
         let id = format!("{:016x}", 0xa000 + seqid);
         client.send(&dispatch(seqid, &fields("check", &id, "4000"), seqid.to_string().as_bytes()));
@@ -128,19 +128,19 @@
         open.insert(next);
     };
     (0..20).for_each(|_| turn(&mut client));
-    let (successor, admin) = successor(&bench);
+    let (successor, admin) = successor(&fixture);
     until_ready(admin);
-    bench.daemon.signal("TERM");
+    fixture.daemon.signal("TERM");
     while last.is_none() {
         turn(&mut client);
-        last = bench.daemon.child.try_wait().expect("own child");
+        last = fixture.daemon.child.try_wait().expect("own child");
         answered += 1;
-        assert!(answered < 2000, "the old process ends: {}", bench.daemon.errors());
+        assert!(answered < 2000, "the old process ends: {}", fixture.daemon.errors());
     }
-    assert_eq!(last.and_then(|status| status.code()), Some(0), "{}", bench.daemon.errors());
+    assert_eq!(last.and_then(|status| status.code()), Some(0), "{}", fixture.daemon.errors());
     (0..20).for_each(|_| turn(&mut client));
-    assert!(bench.daemon.errors().contains("passed_on=1"), "{}", bench.daemon.errors());
-    assert!(bench.daemon.errors().contains("turned_away=0"), "{}", bench.daemon.errors());
+    assert!(fixture.daemon.errors().contains("passed_on=1"), "{}", fixture.daemon.errors());
+    assert!(fixture.daemon.errors().contains("turned_away=0"), "{}", fixture.daemon.errors());
     successor.signal("USR1");
     until("it was taken over", || successor.errors().contains("taken_over=1"));
 }
@@ -149,12 +149,12 @@
 /// is told that it failed, and the connection serves on.
 #[test]
 fn what_a_process_that_dies_owed_is_answered_by_its_successor() {
-    let mut bench = Bench::new(&[Act::Hold], 2);
-    let mut client = bench.client();
-    let old = bench.send_out(&mut client, 0xb1, "8000");
-    let (successor, admin) = successor(&bench);
+    let mut fixture = Fixture::new(&[Behaviour::Hold], 2);
+    let mut client = fixture.client();
+    let old = fixture.send_until_dispatched(&mut client, 0xb1, "8000");
+    let (successor, admin) = successor(&fixture);
     until_ready(admin);
-    bench.daemon.signal("TERM");
+    fixture.daemon.signal("TERM");
     std::thread::sleep(Duration::from_millis(200));
     // It is read by the old process, which passes the connection on then.
     client.send(&dispatch(old + 1, &fields("check", "00000000000000b2", "8000"), b"x"));
@@ -162,11 +162,11 @@
         successor.signal("USR1");
         successor.errors().contains("taken_over=1")
     });
-    bench.daemon.child.kill().expect("own child");
+    fixture.daemon.child.kill().expect("own child");
     let mut failed: Vec<_> = (0..2).filter_map(|_| client.receive()).collect();
     failed.sort_by_key(|reply| reply.0);
     assert_eq!(failed, [(old, Reply::Crashed), (old + 1, Reply::Crashed)]);
-    bench.fleet.release();
+    fixture.fleet.release();
     client.send(&dispatch(old + 2, &fields("check", "00000000000000b3", "4000"), b"y"));
     assert!(matches!(client.receive(), Some((seqid, Reply::Answer(_))) if seqid == old + 2));
 }
@@ -184,20 +184,20 @@
 /// them and read long answers slowly while a successor takes over. What memory both take is told.
 #[test]
 fn both_processes_of_an_upgrade_keep_to_the_descriptors_of_one() {
-    most_descriptors_of_an_upgrade(Act::Long, Duration::ZERO);
+    most_descriptors_of_an_upgrade(Behaviour::LongAnswer, Duration::ZERO);
 }
 
 /// Guards the same where all connections have requests open as the old process goes on after a halt, and pass at once.
 #[test]
 fn connections_that_pass_at_once_keep_to_the_descriptors_of_one() {
-    most_descriptors_of_an_upgrade(Act::Late, Duration::from_millis(400));
+    most_descriptors_of_an_upgrade(Behaviour::DelayedServe, Duration::from_millis(400));
 }
 
 /// Plays an upgrade under load in which the old process stands still for a time after it was told to end.
-fn most_descriptors_of_an_upgrade(act: Act, stand_still: Duration) {
+fn most_descriptors_of_an_upgrade(act: Behaviour, stand_still: Duration) {
     const SOCKETS: usize = 256;
-    let bench = Bench::limited(&[act], 3, SOCKETS as u32, 32);
-    let (address, stop) = (bench.daemon.address, Arc::new(AtomicBool::new(false)));
+    let fixture = Fixture::with_limits(&[act], 3, SOCKETS as u32, 32);
+    let (address, stop) = (fixture.daemon.address, Arc::new(AtomicBool::new(false)));
     let clients: Vec<_> = (0..SOCKETS as u64 / 3)
         .map(|client| {
             let stop = stop.clone();
@@ -218,19 +218,19 @@
         })
         .collect();
     std::thread::sleep(Duration::from_millis(500));
-    let (next, admin) = successor(&bench);
+    let (next, admin) = successor(&fixture);
     // Until it runs its program it holds copies of all descriptors of this process, which are many.
     until("it listens", || std::net::TcpStream::connect(admin).is_ok());
     let (mut most, mut told) = ((0.0f64, 0), false);
     until("the old process ends", || {
-        let (old, new) = (held(bench.daemon.child.id()), held(next.child.id()));
+        let (old, new) = (held(fixture.daemon.child.id()), held(next.child.id()));
         most = (most.0.max(old.0 + new.0), most.1.max(old.1 + new.1));
         if !told && status(admin, "GET", "/v1/readyz") == Some(200) {
-            bench.daemon.signal("TERM");
+            fixture.daemon.signal("TERM");
             if !stand_still.is_zero() {
-                bench.daemon.signal("STOP");
+                fixture.daemon.signal("STOP");
                 std::thread::sleep(stand_still);
-                bench.daemon.signal("CONT");
+                fixture.daemon.signal("CONT");
             }
             told = true;
         }
@@ -246,9 +246,9 @@
 /// successor keeps it once it is alone.
 #[test]
 fn what_operators_asked_for_passes_to_the_successor_and_back() {
-    let mut bench = Bench::new(&[Act::Serve], 2);
-    assert_eq!(put(bench.admin, "/v1/hosts/h0/suspend"), 200);
-    let (next, admin) = successor(&bench);
+    let mut fixture = Fixture::new(&[Behaviour::Serve], 2);
+    assert_eq!(put(fixture.admin, "/v1/hosts/h0/suspend"), 200);
+    let (next, admin) = successor(&fixture);
     until_ready(admin);
     // Told to the successor, while both serve.
     assert_eq!(put(admin, "/v1/hosts/h0/resume"), 200);
@@ -256,50 +256,50 @@
     std::thread::sleep(Duration::from_millis(300));
     // Whichever process a connection comes to.
     for number in 0..12u64 {
-        let mut client = bench.client();
+        let mut client = fixture.client();
         client.send(&dispatch(1, &fields("check", &format!("{:016x}", 0xd0 + number), "4000"), b"x"));
         assert!(matches!(client.receive(), Some((1, Reply::Answer(_)))));
     }
-    assert!(bench.fleet.sent().iter().all(|sent| sent.worker == "h0"), "{:?}", bench.fleet.sent());
-    assert_eq!(put(bench.admin, "/v1/invoker/drain"), 200);
+    assert!(fixture.fleet.sent().iter().all(|sent| sent.worker == "h0"), "{:?}", fixture.fleet.sent());
+    assert_eq!(put(fixture.admin, "/v1/invoker/drain"), 200);
     std::thread::sleep(Duration::from_millis(300));
-    let mut front = bench.client();
+    let mut front = fixture.client();
     front.send(&message(1, "alive", 1, &[2, 0, 1, 1, 0]));
     front.receive().expect("answered");
     assert!(!front.good, "whichever process it asked");
-    bench.daemon.signal("TERM");
-    assert_eq!(bench.daemon.exit_code(), Some(0));
+    fixture.daemon.signal("TERM");
+    assert_eq!(fixture.daemon.exit_code(), Some(0));
     assert_eq!(status(admin, "GET", "/v1/readyz"), Some(200), "drained, it could serve");
     assert_eq!(put(admin, "/v1/invoker/activate"), 200);
-    let before = bench.fleet.sent().len();
+    let before = fixture.fleet.sent().len();
     let mut client = Client::new(next.address);
     client.send(&dispatch(1, &fields("check", "00000000000000e1", "4000"), b"x"));
     assert!(matches!(client.receive(), Some((1, Reply::Answer(_)))));
-    assert!(bench.fleet.sent()[before..].iter().all(|sent| sent.worker == "h0"));
+    assert!(fixture.fleet.sent()[before..].iter().all(|sent| sent.worker == "h0"));
 }
 
 /// Guards the old process where the new one fails: it goes on as if nothing had been, and its end is one without a
 /// successor.
 #[test]
 fn a_successor_that_dies_changes_nothing() {
-    let mut bench = Bench::new(&[Act::Serve], 1);
-    let (mut next, admin) = successor(&bench);
+    let mut fixture = Fixture::new(&[Behaviour::Serve], 1);
+    let (mut next, admin) = successor(&fixture);
     until_ready(admin);
     next.child.kill().expect("own child");
     next.child.wait().expect("own child");
-    until("it is seen", || bench.daemon.errors().contains("processes=1"));
+    until("it is seen", || fixture.daemon.errors().contains("processes=1"));
     for number in 0..4 {
-        let mut client = bench.client();
+        let mut client = fixture.client();
         client.send(&dispatch(1, &fields("check", &format!("{:016x}", 0xf0 + number), "4000"), b"x"));
         assert!(matches!(client.receive(), Some((1, Reply::Answer(_)))));
     }
-    bench.daemon.signal("TERM");
+    fixture.daemon.signal("TERM");
     std::thread::sleep(Duration::from_millis(300));
-    let mut late = bench.client();
+    let mut late = fixture.client();
     late.send(&dispatch(1, &fields("check", "00000000000000fa", "4000"), b"x"));
     assert!(
         matches!(late.receive(), Some((1, Reply::Answer(_)))),
         "without a successor it still takes clients"
     );
-    assert_eq!(bench.daemon.exit_code(), Some(0));
+    assert_eq!(fixture.daemon.exit_code(), Some(0));
 }
