--- a/crates/node/tests/clock.rs
+++ b/crates/node/tests/clock.rs
@@ -1,12 +1,11 @@
-//! The wall clock is stepped under the started program; the monotonic clock runs on.
+//! Steps the wall clock of a running daemon, while its monotonic clock is unaffected.
 //!
-//! Incident of 2 December 2026. Symptom: on machines whose wall clock was stepped, a call of a keyed class was sent again
-//! where its class no longer allowed that, once. Sequence: a worker carries the call out, its answer is lost, the clock is
-//! set back, and the attempt's connection breaks behind the end of the class's window. Cause: the window, like every
-//! other span of the program, was the difference of two readings of the Unix clock; set back by an hour, it lasted an
-//! hour longer. What settled it: with the clock set back by 2 s the worker is sent the same call twice 1.2 s apart, where
-//! the window is 0.7 s; with a steady clock once. In the staging replay whole invokers refused each call 1 ms after it came
-//! (`refused +0.001`, all of a node's calls for seconds): their decisions held a time that lay before them.
+//! Guards against durations measured on the wall clock (incident of 2 December 2026). The deduplication window was the
+//! difference of two Unix times, so that setting the clock back by an hour extended it by an hour: a worker executes a
+//! keyed call, the answer is lost, the clock is set back, the connection fails after the window, and the call is sent
+//! again although its class no longer allows it. With a window of 0.7 s and the clock set back by 2 s the worker got the
+//! call twice, 1.2 s apart; with a steady clock once. For the same reason invokers in a staging replay refused all calls
+//! 1 ms after arrival for seconds (`refused +0.001`): the dispatcher held a time from before the step.
 mod support;
 
 use serde_json::json;
@@ -20,11 +19,11 @@
 
 /// Steps of the wall clock, in seconds.
 const STEPS: [f64; 6] = [2.0, -2.0, 30.0, -30.0, 3600.0, -3600.0];
-/// Longer than any call of these tests takes.
+/// Deadline of the calls in milliseconds; no call of these tests takes that long.
 const ALLOW: &str = "8000";
 const LIMITS: (u32, u32) = (1024, 192);
 
-/// The program on the platform's protocol with a window of so many milliseconds for the keyed class.
+/// A daemon with a Thrift front and a deduplication window of `window` milliseconds for the keyed class.
 fn platform(faults: &Faults, script: &[Behaviour], hosts: usize, window: f64) -> Fixture {
     Fixture::with_environment(script, hosts, LIMITS, &faults.environment(), |settings| {
         settings["classes"][1]["dedupWindowMs"] = json!(window);
@@ -33,28 +32,28 @@
     })
 }
 
-/// A call of the keyed class that is out at a worker which answers nothing.
-fn keyed_call_out(fixture: &Fixture) -> (HoldingWorker, Client) {
+/// Puts a call of the keyed class in flight at a worker that does not answer.
+fn keyed_call_in_flight(fixture: &Fixture) -> (HoldingWorker, Client) {
     let worker = HoldingWorker::new();
     fixture.channel.tell(2, "h0", worker.address, "up");
     let mut client = fixture.client();
     client.send(&dispatch(1, &fields("post", "00000000000000a1", ALLOW), b"x"));
-    until("the first attempt is out", || worker.bodies().len() == 1);
+    until("the first attempt is in flight", || worker.bodies().len() == 1);
     (worker, client)
 }
 
 #[test]
-fn a_keyed_call_is_not_repeated_behind_its_window() {
+fn a_keyed_call_is_not_repeated_after_its_window() {
     for step in STEPS {
         let faults = Faults::new();
         let fixture = platform(&faults, &[Behaviour::Serve], 0, 700.0);
-        let (worker, mut client) = keyed_call_out(&fixture);
+        let (worker, mut client) = keyed_call_in_flight(&fixture);
         faults.step_clock(step);
         std::thread::sleep(Duration::from_millis(1200));
         worker.fail(FailureMode::Disconnect);
         assert_eq!(client.receive(), Some((1, Reply::Crashed)), "step {step}: it may have run");
         assert_eq!(worker.bodies().len(), 1, "step {step}: the window is over");
-        until("the log tells why", || {
+        until("the reason is logged", || {
             let log = fixture.daemon.errors();
             log.lines().any(|line| line.contains("00000000000000a1") && line.contains("may_not_repeat"))
         });
@@ -66,7 +65,7 @@
     for step in STEPS {
         let faults = Faults::new();
         let fixture = platform(&faults, &[Behaviour::Serve], 0, 4000.0);
-        let (worker, mut client) = keyed_call_out(&fixture);
+        let (worker, mut client) = keyed_call_in_flight(&fixture);
         fixture.channel.tell(3, "h1", fixture.fleet.frames("h1"), "up");
         faults.step_clock(step);
         std::thread::sleep(Duration::from_millis(200));
@@ -76,7 +75,7 @@
     }
 }
 
-/// Calls that are out, that wait for a worker, and that come behind the step: none is cut short or kept too long.
+/// Calls in flight, calls that wait for a worker and calls that arrive after the step end neither early nor late.
 #[test]
 fn calls_outlast_a_step_of_the_clock() {
     for step in STEPS {
@@ -98,7 +97,7 @@
             .map(|number| receive(&mut BufReader::new(call(number, "respond-async"))))
             .map(|accepted| accepted.header("location").expect("a place").to_string())
             .collect();
-        until("some are out", || !fleet.sent().is_empty());
+        until("some calls are in flight", || !fleet.sent().is_empty());
         std::thread::sleep(Duration::from_millis(150));
         faults.step_clock(step);
         std::thread::sleep(Duration::from_millis(250));
@@ -116,14 +115,14 @@
     }
 }
 
-/// A node with one worker that holds what it gets, on a folder that lasts.
-fn lasting_deploy(worker: std::net::SocketAddr) -> String {
+/// The deploy file of a node with one worker, whose data folder is used by several processes.
+fn persistent_deploy(worker: std::net::SocketAddr) -> String {
     let worker = format!("[[worker]]\nname = \"w1\"\naddress = \"{worker}\"\n");
     format!("node = \"n\"\nlisten = \"127.0.0.1:0\"\ndata_dir = \"data\"\n{CLASSES}{worker}")
 }
 
-/// Accepts a deferred call of a class; where its end is found.
-fn accepted(daemon: &Daemon, class: &str, key: &str) -> String {
+/// Starts a deferred call of a class and returns its location.
+fn start_deferred(daemon: &Daemon, class: &str, key: &str) -> String {
     let headers = [("Idempotency-Key", key), ("Prefer", "respond-async")];
     let path = format!("/v1/functions/{class}/invocations");
     let response = ask(daemon.address, "POST", &path, &headers, b"x");
@@ -131,22 +130,22 @@
     response.header("location").expect("a place").to_string()
 }
 
-/// The wall clock is stepped while no process runs: what was accepted gets its end, what may not be repeated is not run
-/// again, and a key is kept for its window.
+/// The wall clock is stepped while no process runs: accepted calls get a final answer, calls that may not be repeated are not
+/// executed again, and a key is kept for its window.
 #[test]
-fn what_is_kept_outlasts_a_step_between_two_processes() {
+fn stored_calls_and_keys_survive_a_clock_step_during_a_restart() {
     for step in STEPS {
         let (faults, folder) = (Faults::new(), Folder::new());
         let fleet = Fleet::new(&[Behaviour::Serve, Behaviour::Hold]);
-        let path = folder.write("d.toml", &lasting_deploy(fleet.http("w1")));
+        let path = folder.write("d.toml", &persistent_deploy(fleet.http("w1")));
         let mut daemon = Daemon::serve_with(&path, &faults.environment());
-        let done = accepted(&daemon, "post", "done");
+        let done = start_deferred(&daemon, "post", "done");
         let wait = [("Prefer", "wait=10")];
         assert_eq!(ask(daemon.address, "GET", &done, &wait, b"").status, 200, "step {step}");
-        let open = accepted(&daemon, "post", "open");
-        let once = accepted(&daemon, "once", "once");
-        let check = accepted(&daemon, "check", "check");
-        until("all are out", || fleet.sent().len() == 4);
+        let open = start_deferred(&daemon, "post", "open");
+        let once = start_deferred(&daemon, "once", "once");
+        let check = start_deferred(&daemon, "check", "check");
+        until("all requests are in flight", || fleet.sent().len() == 4);
         daemon.signal("KILL");
         daemon.exit_code();
         drop(daemon);
@@ -161,7 +160,7 @@
         let response = ask(daemon.address, "GET", &check, &wait, b"");
         assert_eq!(response.status, 200, "step {step}: its class may be repeated");
         for key in ["done", "open"] {
-            accepted(&daemon, "post", key);
+            start_deferred(&daemon, "post", key);
         }
         std::thread::sleep(Duration::from_millis(100));
         let count = |body: &[u8]| fleet.sent().iter().filter(|sent| sent.body == body).count();
@@ -169,14 +168,14 @@
     }
 }
 
-/// Guards the rule behind all of this: spans are measured on the monotonic clock, and the wall clock is read in one file.
+/// Durations are measured on the monotonic clock, so the wall clock may only be read in one file.
 #[test]
 fn the_wall_clock_is_read_in_one_file() {
     let crates = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).parent().expect("the packages");
     let mut folders: Vec<_> = std::fs::read_dir(crates)
         .expect("the packages")
         .map(|entry| entry.expect("an entry").path().join("src"))
-        // The rig plays other machines' clocks, the shim this one's.
+        // The rig simulates the clocks of other machines, the shim that of this one.
         .filter(|path| !["rig/src", "shim/src"].iter().any(|other| path.ends_with(other)))
         .collect();
     folders.push(crates.parent().expect("the root").join("src"));
--- a/crates/node/tests/crowd.rs
+++ b/crates/node/tests/crowd.rs
@@ -1,4 +1,4 @@
-//! Crowds: far more clients than the program may hold connections for, on both fronts.
+//! Overload by connections: far more clients than the daemon may hold connections for, on both fronts.
 mod support;
 
 use serde_json::json;
@@ -10,17 +10,18 @@
 use support::{receive, start, until, Daemon, Folder, CLASSES};
 
 const CHECK: &str = "/v1/functions/check/invocations";
-/// Descriptors that leave clients four connections.
+/// Descriptor limit that leaves room for four client connections.
 const FOUR_CLIENTS: u32 = 48;
-/// Descriptors that leave clients a single connection.
+/// Descriptor limit that leaves room for one client connection.
 const ONE_CLIENT: u32 = 42;
-/// The least that the HTTP front may be given, and the connections that it leaves clients.
-const LEAST: u32 = 64;
+/// Lowest descriptor limit of the HTTP front.
+const MIN_HTTP_DESCRIPTORS: u32 = 64;
+/// Client connections that [`MIN_HTTP_DESCRIPTORS`] leaves room for.
 const HTTP_CLIENTS: usize = 12;
 /// The time that a client of `check` waits for its answer.
-const ITS_TIME: Duration = Duration::from_millis(4000);
-/// For what must not happen: long enough for it to have happened.
-const LONG_ENOUGH: Duration = Duration::from_millis(700);
+const CLIENT_TIMEOUT: Duration = Duration::from_millis(4000);
+/// Time to wait before asserting that something has not happened.
+const OBSERVATION_TIME: Duration = Duration::from_millis(700);
 
 fn check(seqid: i32, id: u64) -> Vec<u8> {
     dispatch(seqid, &fields("check", &format!("{id:016x}"), "4000"), b"x")
@@ -39,8 +40,8 @@
     Daemon::serve(&folder.write("d.toml", &file))
 }
 
-/// Stops the program; what is written from here on comes together once it goes on.
-fn stand_still(daemon: &Daemon) {
+/// Stops the daemon: everything that is written from here on arrives together once it continues.
+fn stop_process(daemon: &Daemon) {
     daemon.signal("STOP");
     let threads = format!("/proc/{}/task", daemon.child.id());
     let is_stopped = |thread: std::fs::DirEntry| {
@@ -52,36 +53,36 @@
     });
 }
 
-/// Whether one of the program's counters has that value.
+/// Whether a counter of the daemon has that value.
 fn counter(fixture: &Fixture, name: &str, value: u32) -> bool {
     fixture.daemon.signal("USR1");
     fixture.daemon.errors().contains(&format!(" {name}={value} "))
 }
 
-/// Guards newcomers that come while every connection is owed an answer: they stood in the listener's queue beyond the
-/// time in which they wait for their own.
+/// Clients that connect while every connection has an open request used to wait in the accept queue beyond their own
+/// timeout.
 #[test]
-fn who_comes_while_all_connections_are_busy_is_refused_in_its_time() {
+fn new_clients_are_refused_in_time_while_all_connections_are_busy() {
     let fixture = Fixture::with_settings(&[Behaviour::Serve], 0, FOUR_CLIENTS, 192, |settings| {
         settings["classes"][0]["giveUpMs"] = json!(30_000.0);
     });
     let worker = fixture.fleet.frames("h0");
     let mut busy: Vec<Client> = (0..4).map(|_| fixture.client()).collect();
     for (client, id) in busy.iter_mut().zip(["a1", "a2", "a3", "a4"]) {
-        // No worker takes work yet.
+        // There is no worker yet.
         client.send(&dispatch(1, &fields("check", &format!("{id:0>16}"), "30000"), b"x"));
     }
-    until("all are taken", || counter(&fixture, "taken", 4));
-    let mut newcomers: Vec<(Client, Instant)> = Vec::new();
+    until("all requests are accepted", || counter(&fixture, "taken", 4));
+    let mut new_clients: Vec<(Client, Instant)> = Vec::new();
     for number in 0..40 {
         let mut client = fixture.client();
         client.send(&check(1, 0x1000 + number));
-        newcomers.push((client, Instant::now()));
+        new_clients.push((client, Instant::now()));
     }
-    for (number, (client, asked)) in newcomers.iter_mut().enumerate() {
+    for (number, (client, asked)) in new_clients.iter_mut().enumerate() {
         let reply = client.receive();
         assert!(matches!(reply, Some((1, Reply::Rejected(_)))), "{number}: {reply:?}");
-        assert!(asked.elapsed() < ITS_TIME, "{number}: {:?}", asked.elapsed());
+        assert!(asked.elapsed() < CLIENT_TIMEOUT, "{number}: {:?}", asked.elapsed());
         assert!(descriptors(&fixture.daemon) <= FOUR_CLIENTS as usize);
     }
     fixture.channel.tell(2, "h0", worker, "up");
@@ -92,22 +93,22 @@
 }
 
 #[test]
-fn who_calls_over_http_while_all_connections_are_busy_is_refused_in_its_time() {
+fn new_http_clients_are_refused_in_time_while_all_connections_are_busy() {
     let (fleet, folder) = (Fleet::new(&[Behaviour::Hold]), Folder::new());
-    let daemon = http_daemon(Some(fleet.http("w1")), LEAST, &folder);
+    let daemon = http_daemon(Some(fleet.http("w1")), MIN_HTTP_DESCRIPTORS, &folder);
     let busy: Vec<TcpStream> =
         (0..HTTP_CLIENTS).map(|_| start(daemon.address, "POST", CHECK, &[], b"busy")).collect();
-    until("all are out", || fleet.sent().len() == HTTP_CLIENTS);
-    let newcomers: Vec<(TcpStream, Instant)> =
+    until("all requests are in flight", || fleet.sent().len() == HTTP_CLIENTS);
+    let new_clients: Vec<(TcpStream, Instant)> =
         (0..40).map(|_| (start(daemon.address, "POST", CHECK, &[], b"new"), Instant::now())).collect();
-    for (number, (socket, asked)) in newcomers.into_iter().enumerate() {
+    for (number, (socket, asked)) in new_clients.into_iter().enumerate() {
         let mut reader = BufReader::new(socket);
         let response = receive(&mut reader);
         assert_eq!((response.status, response.header("retry-after")), (503, Some("1")), "{number}");
         assert_eq!(response.header("corkbay-may-have-run"), Some("false"));
-        assert!(asked.elapsed() < ITS_TIME, "{number}: {:?}", asked.elapsed());
-        assert!(reader.fill_buf().is_ok_and(<[u8]>::is_empty), "it is let go");
-        assert!(descriptors(&daemon) <= LEAST as usize);
+        assert!(asked.elapsed() < CLIENT_TIMEOUT, "{number}: {:?}", asked.elapsed());
+        assert!(reader.fill_buf().is_ok_and(<[u8]>::is_empty), "the connection is closed");
+        assert!(descriptors(&daemon) <= MIN_HTTP_DESCRIPTORS as usize);
     }
     fleet.release();
     for socket in busy {
@@ -115,12 +116,12 @@
     }
 }
 
-/// Guards a crowd that connects, asks once and stays, with others among it that never send a whole request: whoever asked
-/// is told an answer, and descriptors stay within their limit. All stand in the queue at once.
+/// Many clients connect, send one request and stay connected, and some of them never send a complete request: each request
+/// is answered, and descriptors stay within their limit. All connections are in the accept queue at once.
 #[test]
 fn a_crowd_that_asks_once_and_stays_is_answered_within_the_limit() {
     let fixture = Fixture::with_descriptor_limit(&[Behaviour::Serve], 1, FOUR_CLIENTS);
-    stand_still(&fixture.daemon);
+    stop_process(&fixture.daemon);
     let mut crowd = Vec::new();
     for number in 0..200 {
         let mut client = fixture.client();
@@ -143,8 +144,8 @@
 #[test]
 fn a_crowd_that_calls_once_over_http_and_stays_is_answered_within_the_limit() {
     let (fleet, folder) = (Fleet::new(&[Behaviour::Serve]), Folder::new());
-    let daemon = http_daemon(Some(fleet.http("w1")), LEAST, &folder);
-    stand_still(&daemon);
+    let daemon = http_daemon(Some(fleet.http("w1")), MIN_HTTP_DESCRIPTORS, &folder);
+    stop_process(&daemon);
     let mut crowd = Vec::new();
     for number in 0..200 {
         let asks = number % 4 != 3;
@@ -165,68 +166,69 @@
         }
         let response = receive(reader);
         assert!([200, 503].contains(&response.status), "{number}: {response:?}");
-        assert!(descriptors(&daemon) <= LEAST as usize);
+        assert!(descriptors(&daemon) <= MIN_HTTP_DESCRIPTORS as usize);
     }
 }
 
-/// Guards a client that leaves with its request open after another came for its place: it was not seen to leave, and the
-/// request went out as soon as a worker took work.
+/// A client disconnects with its request open while its connection is being closed to make room for another. The disconnect
+/// used to go unnoticed, and the request was sent as soon as a worker accepted work.
 #[test]
-fn who_leaves_after_another_came_for_its_place_is_not_sent_on() {
+fn a_request_whose_client_left_a_connection_that_makes_room_is_not_sent() {
     let fixture = Fixture::with_descriptor_limit(&[Behaviour::Serve], 0, ONE_CLIENT);
     let worker = fixture.fleet.frames("h0");
     let mut client = fixture.client();
-    // It is held, and silent.
+    // Time for the connection to be accepted; it stays silent.
     std::thread::sleep(Duration::from_millis(200));
-    stand_still(&fixture.daemon);
-    let _newcomer = fixture.client();
+    stop_process(&fixture.daemon);
+    let _new_client = fixture.client();
     client.send(&check(1, 0xa1));
     fixture.daemon.signal("CONT");
-    until("it is taken", || counter(&fixture, "taken", 1));
+    until("the request is accepted", || counter(&fixture, "taken", 1));
     drop(client);
-    until("it is withdrawn", || counter(&fixture, "withdrawn", 1));
+    until("the request is withdrawn", || counter(&fixture, "withdrawn", 1));
     fixture.channel.tell(2, "h0", worker, "up");
-    std::thread::sleep(LONG_ENOUGH);
+    std::thread::sleep(OBSERVATION_TIME);
     assert!(fixture.fleet.sent().is_empty());
 }
 
 #[test]
-fn who_leaves_over_http_after_another_came_for_its_place_is_not_sent_on() {
+fn an_http_call_whose_client_left_a_connection_that_makes_room_is_not_sent() {
     let (fleet, folder) = (Fleet::new(&[Behaviour::Serve]), Folder::new());
-    let daemon = http_daemon(None, LEAST, &folder);
+    let daemon = http_daemon(None, MIN_HTTP_DESCRIPTORS, &folder);
     let mut socket = TcpStream::connect(daemon.address).expect("connects");
     let _others: Vec<TcpStream> =
         (1..HTTP_CLIENTS).map(|_| TcpStream::connect(daemon.address).expect("connects")).collect();
-    // They are held, and silent, the first for the longest time.
+    // Time for the connections to be accepted. They stay silent, the first for the longest time.
     std::thread::sleep(Duration::from_millis(200));
-    stand_still(&daemon);
-    let newcomer = TcpStream::connect(daemon.address).expect("connects");
+    stop_process(&daemon);
+    let new_client = TcpStream::connect(daemon.address).expect("connects");
     socket
         .write_all(format!("POST {CHECK} HTTP/1.1\r\nContent-Length: 1\r\n\r\nx").as_bytes())
         .expect("written");
     daemon.signal("CONT");
-    // Time for it to be taken.
-    std::thread::sleep(LONG_ENOUGH);
-    drop((socket, newcomer));
-    std::thread::sleep(LONG_ENOUGH);
+    // Time for the request to be accepted.
+    std::thread::sleep(OBSERVATION_TIME);
+    drop((socket, new_client));
+    std::thread::sleep(OBSERVATION_TIME);
     let worker = format!("{{\"address\": \"{}\"}}", fleet.http("w1"));
     let response = support::ask(daemon.address, "PUT", "/v1/workers/w1", &[], worker.as_bytes());
     assert_eq!(response.status, 204);
-    std::thread::sleep(LONG_ENOUGH);
+    std::thread::sleep(OBSERVATION_TIME);
     assert!(fleet.sent().is_empty());
 }
 
-/// Newcomers a second, several times what the connections turn over, and for how long they come.
+/// New clients per second, several times what the connections can serve.
 const CROWD_RATE: u32 = 300;
+/// How long new clients arrive.
 const CROWD_SPAN: Duration = Duration::from_secs(2);
-/// A request that is answered later holds its connection for so long.
-const HELD: Duration = Duration::from_millis(150);
+/// How long a delayed request occupies its connection.
+const REQUEST_DURATION: Duration = Duration::from_millis(150);
 
-/// Guards newcomers in a crowd that never ends: connections become free all the time, but fewer than clients come, so that
-/// the listener's queue grows without bound unless more than that are told at once that there is no room.
+/// Under lasting overload connections become free more slowly than clients arrive, so that the accept queue grows without
+/// bound unless the excess is refused at once.
 #[test]
-fn a_crowd_beyond_what_the_connections_turn_over_is_answered_in_its_time() {
-    let fixture = Fixture::with_descriptor_limit(&[Behaviour::DelayedServe], 4, LEAST);
+fn more_clients_than_the_connections_can_serve_are_answered_in_time() {
+    let fixture = Fixture::with_descriptor_limit(&[Behaviour::DelayedServe], 4, MIN_HTTP_DESCRIPTORS);
     let address = fixture.daemon.address;
     let ask = |id: u64| {
         std::thread::spawn(move || {
@@ -236,22 +238,22 @@
             (client.receive().is_some(), asked.elapsed())
         })
     };
-    // The first come one after the other, so that connections become free one after the other, too.
-    let mut newcomers = Vec::new();
+    // The first clients arrive one after the other, so that connections become free one after the other, too.
+    let mut new_clients = Vec::new();
     for id in 0..HTTP_CLIENTS as u32 {
-        newcomers.push(ask(u64::from(id) + 1));
-        std::thread::sleep(HELD / HTTP_CLIENTS as u32);
+        new_clients.push(ask(u64::from(id) + 1));
+        std::thread::sleep(REQUEST_DURATION / HTTP_CLIENTS as u32);
     }
     let began = Instant::now();
     for number in 0..CROWD_RATE * CROWD_SPAN.as_secs() as u32 {
         let at = began + number * Duration::from_secs(1) / CROWD_RATE;
         std::thread::sleep(at.saturating_duration_since(Instant::now()));
-        newcomers.push(ask(u64::from(number) + 100));
+        new_clients.push(ask(u64::from(number) + 100));
     }
-    let ends: Vec<_> = newcomers.into_iter().map(|newcomer| newcomer.join().expect("asked")).collect();
+    let ends: Vec<_> = new_clients.into_iter().map(|new_client| new_client.join().expect("asked")).collect();
     let unanswered = ends.iter().filter(|end| !end.0).count();
     let longest = ends.iter().map(|end| end.1).max().expect("some came");
-    println!("{} newcomers, {unanswered} unanswered, {longest:?} at the longest", ends.len());
+    println!("{} clients, {unanswered} unanswered, {longest:?} at the longest", ends.len());
     assert_eq!(unanswered, 0);
     assert!(longest < Duration::from_millis(1000), "one waited {longest:?}");
 }
--- a/crates/node/tests/invoke.rs
+++ b/crates/node/tests/invoke.rs
@@ -1,4 +1,4 @@
-//! The invoke API's own ground: malformed requests, connections, restarts, replicas, and the commands.
+//! The HTTP front: malformed requests, connections, restarts, replication, and the command line.
 mod support;
 
 use serde_json::json;
@@ -45,7 +45,7 @@
     }
     assert_eq!(ask(at, "GET", "/v1/invocations/0123456789abcdef", &[], b"").status, 404);
     assert_eq!(ask(at, "POST", POST, &[key], &[7; 16 << 10]).status, 200);
-    assert_eq!(ask(at, "POST", POST, &[key], b"other").status, 422, "a key stands for one body");
+    assert_eq!(ask(at, "POST", POST, &[key], b"other").status, 422, "a key belongs to one body");
     assert_eq!(fleet.sent().len(), 1);
 }
 
@@ -63,7 +63,7 @@
     let (fleet, folder) = (Fleet::new(&[Behaviour::Serve]), Folder::new());
     let daemon = Daemon::serve(&folder.write("d.toml", &deploy("n", Some(fleet.http("w1")), "")));
     let mut socket = start(daemon.address, "POST", CHECK, &[], b"one");
-    // The second does not wait for the first one's answer, and comes in chunks.
+    // The second request is pipelined before the first answer, and chunked.
     let chunked =
         format!("POST {CHECK} HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\ntw\r\n1\r\no\r\n0\r\n\r\n");
     socket.write_all(chunked.as_bytes()).expect("written");
@@ -74,10 +74,10 @@
     assert_eq!(receive(&mut reader).json()["post"]["class"], "post");
 }
 
-/// Guards the answer to a request that is still being sent: a connection closed too soon is reset, and the
-/// client reads nothing.
+/// A request that is still being sent gets its answer: closing the connection too early would reset it, and the client
+/// could not read the answer.
 #[test]
-fn a_body_that_is_far_too_long_is_answered_all_the_same() {
+fn a_body_far_over_the_limit_is_answered() {
     let folder = Folder::new();
     let daemon = Daemon::serve(&folder.write("d.toml", &deploy("n", None, "")));
     let key = ("Idempotency-Key", "k");
@@ -86,33 +86,33 @@
     }
 }
 
-/// Guards against work for a client that left, also where it had asked for the connection to be closed.
+/// Work for a client that left is cancelled, also if the client had asked for the connection to be closed.
 #[test]
 fn a_client_that_leaves_before_a_last_answer_withdraws_its_call() {
     let (fleet, folder) = (Fleet::new(&[Behaviour::NoAnswer]), Folder::new());
     let transport = "[transport]\nprotocol = \"frames\"";
     let daemon = Daemon::serve(&folder.write("d.toml", &deploy("n", Some(fleet.frames("w1")), transport)));
     let socket = start(daemon.address, "POST", CHECK, &[("Connection", "close")], b"x");
-    until("it is out", || fleet.sent().len() == 1);
+    until("the request is in flight", || fleet.sent().len() == 1);
     drop(socket);
-    until("it is called off", || fleet.cancelled() == 1);
+    until("the work is cancelled", || fleet.cancelled() == 1);
 }
 
-/// Guards connections that have had an answer: half a request behind it used to be waited for without end.
+/// The daemon used to wait forever for the rest of an incomplete request on a connection that had had an answer.
 #[test]
-fn half_a_request_behind_an_answer_is_not_waited_for_without_end() {
+fn an_incomplete_request_after_an_answer_times_out() {
     let (fleet, folder) = (Fleet::new(&[Behaviour::Serve]), Folder::new());
     let daemon = Daemon::serve(&folder.write("d.toml", &deploy("n", Some(fleet.http("w1")), "")));
     let mut reader = BufReader::new(start(daemon.address, "POST", CHECK, &[], b"one"));
     assert_eq!(receive(&mut reader).status, 200);
     reader.get_mut().write_all(b"POST /v1/functions/check/invo").expect("written");
-    // Its time is 10 s; a read that nothing ends would take longer and fail.
+    // Its timeout is 10 s; a read that is not ended by it takes longer and fails.
     assert_eq!(reader.fill_buf().map(<[u8]>::len).expect("an end"), 0);
 }
 
-/// Guards places against a client that goes on sending a byte at a time after its last answer.
+/// A client that keeps sending single bytes after its last answer must not occupy a connection slot.
 #[test]
-fn who_trickles_on_after_a_last_answer_is_closed() {
+fn a_client_that_keeps_sending_after_its_last_answer_is_closed() {
     let folder = Folder::new();
     let daemon = Daemon::serve(&folder.write("d.toml", &deploy("n", None, "")));
     let mut socket = start(daemon.address, "GET", "/v1/workers", &[("Connection", "close")], b"");
@@ -121,16 +121,16 @@
         std::thread::sleep(Duration::from_millis(100));
         socket.write_all(b"x").is_err()
     });
-    assert!(ended, "still taken after 20 s");
+    assert!(ended, "still open after 20 s");
 }
 
-/// Guards the last answer of a held call against a client that is still sending: a close at once would be a reset.
+/// The last answer reaches a client that is still sending: closing at once would reset the connection.
 #[test]
-fn what_crosses_a_last_answer_does_not_reset_it() {
+fn data_that_arrives_after_the_last_answer_does_not_reset_it() {
     let (fleet, folder) = (Fleet::new(&[Behaviour::Hold]), Folder::new());
     let daemon = Daemon::serve(&folder.write("d.toml", &deploy("n", Some(fleet.http("w1")), "")));
     let mut socket = start(daemon.address, "POST", CHECK, &[("Connection", "close")], b"x");
-    until("it is out", || fleet.sent().len() == 1);
+    until("the request is in flight", || fleet.sent().len() == 1);
     fleet.release();
     let status = || ask(daemon.address, "GET", "/v1/status", &[], b"").json();
     until("it is answered", || status()["counters"]["served"] == 1);
@@ -143,11 +143,11 @@
     assert!(answer.starts_with("HTTP/1.1 200 ") && answer.ends_with("done: x"), "{answer}");
 }
 
-/// Guards a call that has come on a connection whose place is given to another: it is answered, and not taken for one whose
-/// client has left. All places are taken, it is the longest idle, and the newcomer stands in the queue before the call is
-/// written.
+/// A call that arrives on a connection that is being closed to make room is answered, and not mistaken for one whose client
+/// has left. All connections are in use, this one is idle for the longest time, and the new connection is in the accept
+/// queue before the call is written.
 #[test]
-fn a_call_that_came_before_its_connection_gave_way_is_answered() {
+fn a_call_that_arrives_before_its_connection_is_closed_to_make_room_is_answered() {
     let call = |more: &str, body: &str| {
         format!("POST {CHECK} HTTP/1.1\r\n{more}Content-Length: {}\r\n\r\n{body}", body.len())
     };
@@ -160,39 +160,39 @@
         let mut socket = start(daemon.address, "POST", CHECK, &[], b"one");
         let mut reader = BufReader::new(socket.try_clone().expect("cloned"));
         assert_eq!(receive(&mut reader).body, b"done: one");
-        // Twelve places in all.
+        // There is room for twelve connections.
         let mut later: Vec<_> =
             (0..11).map(|_| BufReader::new(start(daemon.address, "GET", "/v1/workers", &[], b""))).collect();
         later.iter_mut().for_each(|later| assert_eq!(receive(later).status, 200));
         daemon.signal("STOP");
-        let newcomer = start(daemon.address, "POST", CHECK, &[], b"newcomer");
+        let new_connection = start(daemon.address, "POST", CHECK, &[], b"newcomer");
         socket.write_all(crossing.as_bytes()).expect("written");
         daemon.signal("CONT");
         assert_eq!(receive(&mut reader).body, b"done: two", "{crossing}");
         if crossing.contains("three") {
             assert_eq!(receive(&mut reader).body, b"done: three");
         }
-        assert_eq!(receive(&mut BufReader::new(newcomer)).body, b"done: newcomer");
-        assert!(reader.fill_buf().is_ok_and(<[u8]>::is_empty), "it has given way");
+        assert_eq!(receive(&mut BufReader::new(new_connection)).body, b"done: newcomer");
+        assert!(reader.fill_buf().is_ok_and(<[u8]>::is_empty), "closed to make room");
     }
 }
 
 #[test]
-fn a_repeat_of_a_key_that_is_open_is_told_so() {
+fn a_repeated_key_of_an_open_call_is_a_conflict() {
     let (fleet, folder) = (Fleet::new(&[Behaviour::Hold]), Folder::new());
     let daemon = Daemon::serve(&folder.write("d.toml", &deploy("n", Some(fleet.http("w1")), "")));
     let key = ("Idempotency-Key", "k");
     let first = start(daemon.address, "POST", POST, &[key], b"x");
-    until("it is out", || fleet.sent().len() == 1);
+    until("the request is in flight", || fleet.sent().len() == 1);
     assert_eq!(ask(daemon.address, "POST", POST, &[key], b"x").status, 409);
     fleet.release();
     assert_eq!(receive(&mut BufReader::new(first)).body, b"done: x");
 }
 
-/// Guards the class of a call across a crash: what was accepted and not finished may have run, so it
-/// fails, and is not sent again, not even when its key comes once more. What was final stays as it was.
+/// A call that was accepted but not finished before a crash may have run: it fails and is not sent again, not even if its
+/// key is repeated. Final answers are kept.
 #[test]
-fn after_a_kill_open_calls_fail_and_final_ones_stand() {
+fn after_a_kill_open_calls_fail_and_final_answers_are_kept() {
     let (fleet, folder) = (Fleet::new(&[Behaviour::Serve, Behaviour::NoAnswer]), Folder::new());
     let path = folder.write("d.toml", &deploy("n", Some(fleet.http("w1")), ""));
     let mut daemon = Daemon::serve(&path);
@@ -205,7 +205,7 @@
     let done = accept(&daemon, "done");
     assert_eq!(ask(daemon.address, "GET", &done, &[("Prefer", "wait=20")], b"").status, 200);
     let open = accept(&daemon, "open");
-    until("it is out", || fleet.sent().len() == 2);
+    until("the request is in flight", || fleet.sent().len() == 2);
     daemon.child.kill().expect("killed");
     daemon.child.wait().expect("ended");
     let daemon = Daemon::serve(&path);
@@ -228,7 +228,7 @@
         )
     };
     let one = folder.write("one.toml", &deploy("one", Some(fleet.http("w1")), &replication(0)));
-    // The other node's file names no worker: it learns of it.
+    // The file of the other node has no worker; it gets the worker by replication.
     let two = folder.write("two.toml", &deploy("two", None, &replication(1)));
     let (one, two) = (Daemon::serve(&one), Daemon::serve(&two));
     until("the worker is known there", || {
@@ -239,7 +239,7 @@
     let location = accepted.header("location").expect("location").to_string();
     until("the call is known there", || ask(two.address, "GET", &location, &[], b"").status == 202);
     assert_eq!(ask(two.address, "DELETE", &location, &[], b"").status, 409);
-    until("it is out", || fleet.sent().len() == 1);
+    until("the request is in flight", || fleet.sent().len() == 1);
     fleet.release();
     let answer = ask(two.address, "GET", &location, &[("Prefer", "wait=20")], b"");
     assert_eq!((answer.status, answer.body.as_slice()), (200, b"done: x".as_slice()));
@@ -252,14 +252,14 @@
 }
 
 #[test]
-fn sigterm_sees_deferred_calls_to_their_end() {
+fn sigterm_completes_deferred_calls() {
     let (fleet, folder) = (Fleet::new(&[Behaviour::Hold]), Folder::new());
     let path = folder.write("d.toml", &deploy("n", Some(fleet.http("w1")), ""));
     let mut daemon = Daemon::serve(&path);
     let headers = [("Idempotency-Key", "k"), ("Prefer", "respond-async")];
     let accepted = ask(daemon.address, "POST", POST, &headers, b"x");
     let location = accepted.header("location").expect("location").to_string();
-    until("it is out", || fleet.sent().len() == 1);
+    until("the request is in flight", || fleet.sent().len() == 1);
     daemon.signal("TERM");
     fleet.release();
     assert_eq!(daemon.exit_code(), Some(0));
@@ -269,7 +269,7 @@
     assert_eq!(ask(daemon.address, "GET", &location, &[], b"").body, b"done: x");
 }
 
-/// Guards against a process that a crowd of connections leaves without descriptors for good.
+/// The daemon recovers after many connections have exhausted its file descriptors.
 #[test]
 fn accepting_survives_the_lack_of_descriptors() {
     let (fleet, folder) = (Fleet::new(&[Behaviour::Serve]), Folder::new());
@@ -281,7 +281,7 @@
     assert_eq!(ask(daemon.address, "POST", CHECK, &[], b"x").body, b"done: x");
 }
 
-/// Guards a call with a long deadline against a drain that is shorter.
+/// The drain on SIGTERM must not be shorter than the deadline of an open call.
 #[test]
 fn sigterm_waits_for_the_longest_deadline() {
     let (fleet, folder) = (Fleet::new(&[Behaviour::NoAnswer]), Folder::new());
@@ -289,7 +289,7 @@
     let mut daemon = Daemon::serve(&path);
     let key = ("Idempotency-Key", "k");
     let call = start(daemon.address, "POST", POST, &[key, ("Corkbay-Deadline-Ms", "7000")], b"x");
-    until("it is out", || fleet.sent().len() == 1);
+    until("the request is in flight", || fleet.sent().len() == 1);
     daemon.signal("TERM");
     assert_eq!(receive(&mut BufReader::new(call)).status, 504);
     assert_eq!(daemon.exit_code(), Some(0));
@@ -321,9 +321,9 @@
     assert!(errors.contains("sockets:") && errors.lines().count() == 1, "{errors}");
 }
 
-/// Guards against an import that leaves half of a file, and shows that the daemon loads what it writes.
+/// A failed import leaves the output file unchanged, and the daemon can load an imported file.
 #[test]
-fn what_is_imported_is_served_and_errors_change_nothing() {
+fn imported_workers_are_served_and_a_failed_import_changes_nothing() {
     let (fleet, folder) = (Fleet::new(&[Behaviour::Serve]), Folder::new());
     let address = fleet.http("w1");
     let source = format!(
@@ -354,10 +354,9 @@
     corkbay_node::life::deploy::Deploy::load(std::path::Path::new(path)).expect("loads");
 }
 
-/// Guards a reload off the platform: SIGHUP takes up the file's functions and workers, and a file that
-/// can't be used changes nothing.
+/// SIGHUP loads functions and workers from the deploy file of the HTTP front, and an invalid file changes nothing.
 #[test]
-fn sighup_takes_up_functions_and_workers() {
+fn sighup_loads_functions_and_workers() {
     let (fleet, folder) = (Fleet::new(&[Behaviour::Serve]), Folder::new());
     let path = folder.write("d.toml", &deploy("n", None, ""));
     let daemon = Daemon::serve(&path);
@@ -369,6 +368,6 @@
         deploy("n", Some(fleet.http("w1")), "").replacen("[[worker]]", &format!("{more}[[worker]]"), 1);
     folder.write("d.toml", &text);
     daemon.signal("HUP");
-    until("it is taken up", || daemon.errors().contains("reloaded"));
+    until("the file is loaded", || daemon.errors().contains("reloaded"));
     assert_eq!(ask(daemon.address, "POST", "/v1/functions/late/invocations", &[], b"x").status, 200);
 }
--- a/crates/node/tests/memory.rs
+++ b/crates/node/tests/memory.rs
@@ -1,5 +1,5 @@
-//! Floods, caps and reloads against the started program: what is full refuses with advice, what is owed is
-//! kept, and accounts come back to zero.
+//! Memory limits of a running daemon: full accounts refuse with a retry delay, open calls and kept answers are unaffected,
+//! and accounts return to zero.
 mod support;
 
 use serde_json::{json, Value};
@@ -25,14 +25,14 @@
     ask(daemon.address, "GET", "/v1/status", &[], b"").json()
 }
 
-/// A figure of an account; `tenant` is null for the whole.
+/// A value of an account; the entry whose `tenant` is null is the total.
 fn account(status: &Value, purpose: &str, key: &str) -> u64 {
     let accounts = status["memory"]["accounts"].as_array().expect("accounts");
     let found = accounts.iter().find(|account| account["purpose"] == purpose && account["tenant"].is_null());
     found.and_then(|account| account[key].as_u64()).unwrap_or_else(|| panic!("{key} of {purpose}"))
 }
 
-fn caps_hold(status: &Value) {
+fn assert_caps_hold(status: &Value) {
     for account in status["memory"]["accounts"].as_array().expect("accounts") {
         let figure = |key: &str| account[key].as_u64().expect("a figure");
         assert!(figure("peak_bytes") <= figure("cap_bytes"), "{account}");
@@ -44,8 +44,8 @@
     advice.unwrap_or_else(|| panic!("{response:?} without advice"))
 }
 
-/// Guards memory against ever new functions: they are refused once the catalog is full, with advice, and the
-/// configured ones are served all the while; what is told is a clean problem.
+/// New functions are refused with a retry delay and a problem document once the catalog is full, and the configured ones
+/// are served meanwhile.
 #[test]
 fn a_flood_of_functions_is_refused_and_the_configured_are_served() {
     let (fleet, folder) = (Fleet::new(&[Behaviour::Serve]), Folder::new());
@@ -70,7 +70,7 @@
     assert_eq!(ask(daemon.address, "POST", "/v1/functions/none/invocations", &[], b"x").status, 404);
     let drained = format!("{{\"address\":\"{}\",\"state\":\"draining\"}}", fleet.http("w1"));
     let drain = ask(daemon.address, "PUT", "/v1/workers/w1", &[], drained.as_bytes());
-    assert_eq!(drain.status, 204, "a worker can be drained whatever is full");
+    assert_eq!(drain.status, 204, "a worker can be drained although the catalog is full");
     assert_eq!(ask(daemon.address, "DELETE", "/v1/functions/f-1", &[], b"").status, 204);
     let listed = ask(daemon.address, "GET", "/v1/functions", &[], b"").json();
     assert_eq!((listed["f-0"]["class"].as_str(), listed["f-1"].is_null()), (Some("check"), true));
@@ -78,10 +78,10 @@
     assert!(account(&status, "catalog", "refused") > 0 && account(&status, "learnt", "used_bytes") > 0);
 }
 
-/// Guards the promise to keep final answers: calls whose answer could not be kept are refused at the start,
-/// those that were accepted are collected, and new ones fit once the old have had their time.
+/// A deferred call is refused at once if its answer could not be kept. The answers of accepted calls can be collected, and
+/// new calls are accepted once old answers have expired.
 #[test]
-fn deferred_calls_are_kept_for_their_time_or_refused_at_the_start() {
+fn deferred_calls_are_kept_for_their_retention_or_refused_at_once() {
     let (fleet, folder) = (Fleet::new(&[Behaviour::Serve]), Folder::new());
     let head = "memory_mb = 32\nretention_s = 4";
     let file = deploy(head, "shares = { deferred-final = 1.3 }", fleet.http("w1"));
@@ -104,14 +104,14 @@
     let sent = fleet.sent().len();
     assert!(sent > 5, "{sent}");
     let status_now = status(&daemon);
-    caps_hold(&status_now);
+    assert_caps_hold(&status_now);
     assert_eq!(account(&status_now, "deferred-open", "used_bytes"), 0);
-    until("the old have had their time", || defer().status == 202);
+    until("old answers have expired", || defer().status == 202);
 }
 
-/// Guards against a flood of keys: a key is held with room for the answer that a repeat is given.
+/// Each idempotency key reserves memory for the answer to a repeat, so that keys beyond the account are refused.
 #[test]
-fn keys_beyond_their_room_are_told_to_come_again() {
+fn keys_beyond_their_memory_are_refused_with_a_retry_delay() {
     let (fleet, folder) = (Fleet::new(&[Behaviour::Hold]), Folder::new());
     let file = deploy("memory_mb = 32", "shares = { keys = 1.3 }", fleet.http("w1"));
     let daemon = Daemon::serve(&folder.write("d.toml", &file));
@@ -133,52 +133,52 @@
     fleet.release();
     for reader in &mut open {
         reader.get_ref().set_read_timeout(Some(support::TEST_TIMEOUT)).expect("set");
-        assert_eq!(receive(reader).status, 200, "what was taken is served");
+        assert_eq!(receive(reader).status, 200, "accepted calls are served");
     }
     assert_eq!(ask(daemon.address, "POST", POST, &[("Idempotency-Key", "k-0")], b"x").body, b"done: x");
     assert_eq!(ask(daemon.address, "POST", POST, &[("Idempotency-Key", "fresh")], b"x").status, 200);
-    caps_hold(&status(&daemon));
+    assert_caps_hold(&status(&daemon));
 }
 
-/// Guards against clients that take memory and give nothing: connections without end, answers never read,
-/// bodies announced and never sent. Others are served meanwhile, and all of it comes back.
+/// Clients may occupy memory without making progress: ever more connections, answers that are never read, bodies that are
+/// announced and never sent. Other clients are served meanwhile, and all of the memory is released.
 #[test]
-fn connections_beyond_their_room_give_way_and_give_back() {
+fn connections_beyond_their_memory_are_closed_and_release_it() {
     let (fleet, folder) = (Fleet::new(&[Behaviour::Serve]), Folder::new());
     let file = deploy("memory_mb = 32\nsockets = 440", "", fleet.http("w1"));
     let daemon = Daemon::serve(&folder.write("d.toml", &file));
     let half = format!("POST {CHECK} HTTP/1.1\r\nContent-Length: 16000\r\n\r\n{}", "x".repeat(9000));
     let unread = b"GET /v1/workers HTTP/1.1\r\n\r\n".repeat(400);
     let before = account(&status(&daemon), "clients", "used_bytes");
-    let mut guests = VecDeque::new();
+    let mut idle_clients = VecDeque::new();
     for number in 0..10_000 {
-        let mut guest = TcpStream::connect(daemon.address).expect("connects");
-        guest.set_write_timeout(Some(Duration::from_millis(20))).expect("set");
+        let mut idle_client = TcpStream::connect(daemon.address).expect("connects");
+        idle_client.set_write_timeout(Some(Duration::from_millis(20))).expect("set");
         match number % 25 {
-            0 => _ = guest.write_all(half.as_bytes()),
-            1 => _ = guest.write_all(&unread),
+            0 => _ = idle_client.write_all(half.as_bytes()),
+            1 => _ = idle_client.write_all(&unread),
             _ => {}
         }
-        guests.push_back(guest);
-        if guests.len() > 600 {
-            guests.pop_front();
+        idle_clients.push_back(idle_client);
+        if idle_clients.len() > 600 {
+            idle_clients.pop_front();
         }
         if number % 1000 == 999 {
             assert_eq!(ask(daemon.address, "POST", CHECK, &[], b"x").status, 200, "after {number}");
         }
     }
-    drop(guests);
-    caps_hold(&status(&daemon));
-    // The connection that asks is held both times.
-    until("all of it is given back", || account(&status(&daemon), "clients", "used_bytes") <= before);
+    drop(idle_clients);
+    assert_caps_hold(&status(&daemon));
+    // Both values include the connection of the status request.
+    until("all memory is released", || account(&status(&daemon), "clients", "used_bytes") <= before);
     let status = status(&daemon);
     for purpose in ["calls", "workers", "deferred-open", "log"] {
         assert_eq!(account(&status, purpose, "used_bytes"), 0, "{purpose}");
     }
 }
 
-/// Guards reloads: caps that are lowered under what is held end nothing and take nothing new, caps that don't
-/// fit change nothing, and raised ones count at once.
+/// A reload that lowers a cap below the memory in use ends no open call and refuses new ones; invalid caps change nothing,
+/// and raised caps apply at once.
 #[test]
 fn a_reload_lowers_and_raises_caps_and_ends_nothing() {
     let (fleet, folder) = (Fleet::new(&[Behaviour::Hold]), Folder::new());
@@ -187,10 +187,10 @@
     let path = folder.write("d.toml", &file(30.0));
     let daemon = Daemon::serve(&path);
     let mut open: Vec<_> = (0..30).map(|_| start(daemon.address, "POST", CHECK, &[], b"x")).collect();
-    until("they are taken", || status(&daemon)["owed"] == 30);
+    until("the requests are accepted", || status(&daemon)["owed"] == 30);
     let reloaded = |count: usize| {
         daemon.signal("HUP");
-        until("it is reloaded", || daemon.errors().matches("reloaded").count() == count);
+        until("the configuration is reloaded", || daemon.errors().matches("reloaded").count() == count);
     };
     folder.write("d.toml", &file(1.2));
     reloaded(1);
@@ -198,20 +198,20 @@
     assert_eq!((refused.status, retry_after(&refused)), (503, 1));
     folder.write("d.toml", &file(0.1));
     daemon.signal("HUP");
-    until("it is refused", || daemon.errors().contains("configuration: memory.shares.calls: "));
+    until("the reload is refused", || daemon.errors().contains("configuration: memory.shares.calls: "));
     folder.write("d.toml", &file(30.0));
     reloaded(2);
     open.push(start(daemon.address, "POST", CHECK, &[], b"x"));
-    until("it is taken", || status(&daemon)["owed"] == 31);
+    until("the request is accepted", || status(&daemon)["owed"] == 31);
     fleet.release();
     for socket in open {
         assert_eq!(receive(&mut BufReader::new(socket)).status, 200);
     }
-    until("all is given back", || account(&status(&daemon), "calls", "used_bytes") == 0);
+    until("all memory is released", || account(&status(&daemon), "calls", "used_bytes") == 0);
 }
 
 #[test]
-fn what_is_held_can_be_seen() {
+fn memory_accounts_are_reported_in_metrics_status_and_log() {
     let (fleet, folder) = (Fleet::new(&[Behaviour::Serve]), Folder::new());
     let file = deploy("memory_mb = 64", "", fleet.http("w1"));
     let daemon = Daemon::serve(&folder.write("d.toml", &file));
@@ -240,22 +240,22 @@
     let memory = |key: &str| status["memory"][key].as_u64().expect("a figure");
     assert!(memory("held_bytes") > 0 && memory("held_bytes") < memory("resident_bytes"));
     daemon.signal("USR1");
-    until("it is logged", || daemon.errors().contains("purpose=\"deferred-final\""));
+    until("the accounts are logged", || daemon.errors().contains("purpose=\"deferred-final\""));
 }
 
 #[test]
-fn an_account_that_comes_close_to_its_cap_is_warned_of() {
+fn an_account_close_to_its_cap_is_logged_as_a_warning() {
     let (fleet, folder) = (Fleet::new(&[Behaviour::Hold]), Folder::new());
     let file = deploy("memory_mb = 64", "shares = { calls = 1.2 }", fleet.http("w1"));
     let daemon = Daemon::serve(&folder.write("d.toml", &file));
     let open: Vec<_> = (0..40).map(|_| start(daemon.address, "POST", CHECK, &[], b"x")).collect();
-    until("it is warned of", || daemon.errors().contains("close to its cap account=calls"));
+    until("the warning is logged", || daemon.errors().contains("close to its cap account=calls"));
     fleet.release();
     drop(open);
 }
 
 #[test]
-fn caps_that_do_not_fit_together_are_named_by_their_key() {
+fn invalid_caps_are_reported_with_their_key() {
     let (fleet, folder) = (Fleet::new(&[Behaviour::Serve]), Folder::new());
     let worker = fleet.http("w1");
     for (head, memory, key) in [
@@ -276,10 +276,9 @@
     }
 }
 
-/// Guards the end of what is read too long to wait for: a body that stops is answered by a closed connection
-/// and not kept.
+/// A connection whose client stops within a request body is closed, and the part received is not kept.
 #[test]
-fn nothing_stays_of_a_connection_that_broke_in_a_body() {
+fn a_connection_that_ends_within_a_body_releases_its_memory() {
     let (fleet, folder) = (Fleet::new(&[Behaviour::Serve]), Folder::new());
     let file = deploy("memory_mb = 64", "", fleet.http("w1"));
     let daemon = Daemon::serve(&folder.write("d.toml", &file));
@@ -291,6 +290,6 @@
         socket.shutdown(std::net::Shutdown::Write).expect("shut");
         let _ = socket.read_to_end(&mut Vec::new());
     }
-    until("all is given back", || account(&status(&daemon), "clients", "used_bytes") <= before);
+    until("all memory is released", || account(&status(&daemon), "clients", "used_bytes") <= before);
     assert_eq!(fleet.sent().len(), 0);
 }
--- a/crates/node/tests/mesh.rs
+++ b/crates/node/tests/mesh.rs
@@ -1,4 +1,4 @@
-//! A few nodes that name each other as peers: what they send while nothing changes, and how they come together.
+//! Nodes that replicate to each other as peers: idle traffic and convergence.
 mod support;
 
 use std::io::{Read, Write};
@@ -10,8 +10,8 @@
 };
 use support::{ask, free_address, until, Daemon, Folder, TEST_TIMEOUT};
 
-/// Sixteen nodes, 120 pairs, may send 4 KB a second in all while nothing changes: so much for each pair.
-const IDLE_BYTES_PER_S_OF_A_PAIR: f64 = 4096.0 / 120.0;
+/// Traffic limit of an idle pair: sixteen nodes, which are 120 pairs, may send 4 KB per second in total.
+const IDLE_BYTES_PER_S_PER_PAIR: f64 = 4096.0 / 120.0;
 
 fn mesh(folder: &Folder, nodes: usize, interval_ms: u64) -> Vec<Daemon> {
     let addresses: Vec<SocketAddr> = (0..nodes).map(|_| free_address()).collect();
@@ -28,15 +28,15 @@
     nodes.iter().map(|node| status(node)["replication"]["sent_bytes"].as_u64().expect("a count")).sum()
 }
 
-/// Guards the wire of idle nodes: what is sent follows the number of pairs, not of records or of intervals.
+/// Idle traffic depends on the number of pairs, not on the number of records or intervals.
 #[test]
-fn nodes_that_hold_the_same_hardly_speak() {
+fn nodes_with_equal_records_cause_little_traffic() {
     let folder = Folder::new();
     let nodes = mesh(&folder, 5, 100);
     for number in 0..100 {
         put_function(&nodes[number % nodes.len()], &format!("f{number}"), 1);
     }
-    until("all hold all", || {
+    until("all nodes have all functions", || {
         nodes.iter().all(|node| (0..100).all(|number| function_memory(node, &format!("f{number}")).is_some()))
     });
     let pairs = (nodes.len() * (nodes.len() - 1) / 2) as f64;
@@ -46,31 +46,32 @@
         let (before, start) = (sent_bytes(&nodes), Instant::now());
         std::thread::sleep(window);
         let rate = (sent_bytes(&nodes) - before) as f64 / start.elapsed().as_secs_f64();
-        if rate <= pairs * IDLE_BYTES_PER_S_OF_A_PAIR {
+        if rate <= pairs * IDLE_BYTES_PER_S_PER_PAIR {
             return;
         }
         assert!(began.elapsed() < TEST_TIMEOUT, "{rate} bytes a second between {pairs} pairs");
     }
 }
 
-/// Guards the speed of changes: a write does not wait for the next comparison.
+/// A write is sent at once and does not wait for the next comparison.
 #[test]
 fn a_write_is_pushed_at_once() {
     let folder = Folder::new();
     let nodes = mesh(&folder, 2, 60_000);
-    // The second found the first listening. The first did not find the second, and compares in a minute only.
-    until("they have met", || sent_bytes(&nodes[1..]) > 0);
+    // The second node found the first one listening. The first tried before the second listened, and compares again only
+    // after a minute.
+    until("the nodes are connected", || sent_bytes(&nodes[1..]) > 0);
     for (here, there) in [(&nodes[1], &nodes[0]), (&nodes[0], &nodes[1])] {
         put_function(here, "fresh", 5);
-        until("it is known", || function_memory(there, "fresh") == Some(5.0));
+        until("the change has arrived", || function_memory(there, "fresh") == Some(5.0));
         delete_function(here, "fresh");
-        until("it is gone", || function_memory(there, "fresh").is_none());
+        until("the function is deleted", || function_memory(there, "fresh").is_none());
     }
 }
 
-/// Guards convergence: what either side wrote during a cut is at both after it, and the newer version stands.
+/// Writes on either side of a network partition reach both sides after it, and the newer version of a record wins.
 #[test]
-fn nodes_that_were_cut_off_come_together() {
+fn partitioned_nodes_converge() {
     let folder = Folder::new();
     let addresses = [free_address(), free_address()];
     let relays = [Relay::to(addresses[0]), Relay::to(addresses[1])];
@@ -81,7 +82,7 @@
     };
     let nodes = [node(0), node(1)];
     put_function(&nodes[0], "shared", 1);
-    until("both are in touch", || function_memory(&nodes[1], "shared") == Some(1.0));
+    until("both nodes are connected", || function_memory(&nodes[1], "shared") == Some(1.0));
     relays.iter().for_each(Relay::cut);
     put_function(&nodes[0], "left", 10);
     put_function(&nodes[1], "right", 20);
@@ -91,10 +92,10 @@
     delete_function(&nodes[0], "left");
     put_function(&nodes[0], "left", 11);
     std::thread::sleep(Duration::from_millis(500));
-    assert_eq!(function_memory(&nodes[1], "left"), None, "the cut holds");
+    assert_eq!(function_memory(&nodes[1], "left"), None, "the nodes are partitioned");
     relays.iter().for_each(Relay::mend);
     for node in &nodes {
-        until("all is at both", || {
+        until("both nodes have all writes", || {
             function_memory(node, "left") == Some(11.0)
                 && function_memory(node, "right") == Some(20.0)
                 && function_memory(node, "shared") == Some(3.0)
@@ -102,9 +103,9 @@
     }
 }
 
-/// Guards nodes with little memory for messages: what does not go into one comes with the next.
+/// With little memory for messages a large catalog is sent in several of them.
 #[test]
-fn a_large_catalog_comes_in_pieces() {
+fn a_large_catalog_is_sent_in_several_messages() {
     const FUNCTIONS: usize = 1500;
     let folder = Folder::new();
     let addresses = [free_address(), free_address()];
@@ -122,7 +123,10 @@
     let full = node(0, &functions);
     let account = |node: &Daemon| {
         let accounts = status(node)["memory"]["accounts"].as_array().expect("a list").clone();
-        accounts.into_iter().find(|account| account["purpose"] == "replication").expect("its line")
+        accounts
+            .into_iter()
+            .find(|account| account["purpose"] == "replication")
+            .expect("a replication account")
     };
     let records_bytes = FUNCTIONS as u64 * 200;
     assert!(
@@ -130,7 +134,7 @@
         "more than one message"
     );
     let empty = node(1, "");
-    until("all is there", || {
+    until("all functions have arrived", || {
         ask(empty.address, "GET", "/v1/functions", &[], b"").json().as_object().map(|all| all.len())
             == Some(FUNCTIONS)
     });
@@ -140,37 +144,37 @@
     }
 }
 
-/// Guards a fleet that is brought up to this version node by node: an older peer is an error in the log, and nothing more.
+/// During a rolling upgrade a peer of an earlier version is logged as an error and has no other effect.
 #[test]
 fn an_earlier_version_gets_a_clear_error() {
     let folder = Folder::new();
     let (ours, older) = (free_address(), free_address());
     let listener = TcpListener::bind(older).expect("free");
     std::thread::spawn(move || {
-        // An older node reads a message that it does not know and ends the connection.
+        // An older node reads a message that it doesn't know and closes the connection.
         for mut socket in listener.incoming().map_while(Result::ok) {
             let _ = socket.read(&mut [0; 4096]);
         }
     });
     let sections = format!("{}{}", replication(ours, &[older], 200), classes_only());
     let node = start_node(&folder, "n", &sections);
-    until("the peer is named", || {
+    until("the peer is logged", || {
         let errors = node.errors();
         errors.lines().any(|line| line.contains(&older.to_string()) && line.contains("earlier version"))
     });
     let mut caller = TcpStream::connect(ours).expect("listens");
     caller.write_all(&frame(r#"{"digest":{"stamps":{}}}"#)).expect("written");
     until_ended(caller);
-    until("the caller is named", || {
+    until("the caller is logged", || {
         node.errors().contains("a caller") && node.errors().contains("brought up")
     });
     put_function(&node, "f", 1);
     assert_eq!(function_memory(&node, "f"), Some(1.0));
 }
 
-/// Guards a node against frames that are damaged, too long or out of turn: each ends its own connection only.
+/// A frame that is corrupt, too long or out of order ends only its own connection.
 #[test]
-fn bad_frames_end_their_connection_only() {
+fn an_invalid_frame_ends_only_its_connection() {
     let folder = Folder::new();
     let addresses = [free_address(), free_address()];
     let node = |own: usize| {
@@ -187,5 +191,5 @@
         until_ended(caller);
     }
     put_function(&nodes[1], "fresh", 5);
-    until("the peers still talk", || function_memory(&nodes[0], "fresh") == Some(5.0));
+    until("the peers still replicate", || function_memory(&nodes[0], "fresh") == Some(5.0));
 }
--- a/crates/node/tests/moments.rs
+++ b/crates/node/tests/moments.rs
@@ -1,5 +1,5 @@
-//! Rare moments on the platform's protocol: what comes in the instant in which something else ends. The bad order is
-//! brought about by the other side, or by stopping the program while the bytes are written.
+//! Race conditions on the Thrift front: events that arrive at the moment in which something else ends. The tests bring
+//! about the critical order from the peer's side, or by stopping the daemon while they write.
 mod support;
 
 use corkbay_node::wire::frames::{code, Frame, FROM_INVOKER, FROM_WORKER};
@@ -12,19 +12,19 @@
 use support::workers::Behaviour;
 use support::{ask, free_address, until, Daemon, TEST_TIMEOUT};
 
-/// For what must not happen: long enough for it to have happened.
-const LONG_ENOUGH: Duration = Duration::from_millis(700);
-/// Descriptors that leave clients a single place.
-const ONE_PLACE: u32 = 42;
-/// By then after SIGTERM connections are let go.
-const LET_GO: Duration = Duration::from_millis(1000);
-/// So long after the operators' drain connections are let go.
-const LET_GO_DRAINED: Duration = Duration::from_millis(700);
-
-/// Waits until the program has taken so many requests.
-fn until_taken(fixture: &Fixture, count: u32) {
+/// Time to wait before asserting that something has not happened.
+const OBSERVATION_TIME: Duration = Duration::from_millis(700);
+/// Descriptor limit that leaves room for a single client connection.
+const ONE_CONNECTION: u32 = 42;
+/// Time after SIGTERM by which the daemon has started to close client connections.
+const CLOSING_AFTER_SIGTERM: Duration = Duration::from_millis(1000);
+/// Time after the operators' drain at which the daemon closes client connections.
+const CLOSING_AFTER_DRAIN: Duration = Duration::from_millis(700);
+
+/// Waits until the daemon has accepted `count` requests.
+fn until_accepted(fixture: &Fixture, count: u32) {
     let line = format!("taken={count} ");
-    until("it is taken", || {
+    until("the request is accepted", || {
         fixture.daemon.signal("USR1");
         fixture.daemon.errors().contains(&line)
     });
@@ -34,49 +34,49 @@
     dispatch(seqid, &fields("check", &format!("{id:016x}"), "4000"), b"x")
 }
 
-/// How a client leaves.
+/// How a client cancels its request or disconnects.
 #[derive(Clone, Copy, Debug)]
-enum Leaves {
+enum Departure {
     Cancels,
     Closes,
 }
 
-impl Leaves {
-    /// Leaves; the connection, where it stays open.
+impl Departure {
+    /// Makes the client leave and returns its connection if that stays open.
     fn leave(self, mut client: Client, seqid: i32) -> Option<Client> {
         match self {
-            Leaves::Cancels => {
+            Departure::Cancels => {
                 client.send(&cancel(seqid));
                 Some(client)
             }
-            Leaves::Closes => None,
+            Departure::Closes => None,
         }
     }
 }
 
-const WAYS: [Leaves; 2] = [Leaves::Cancels, Leaves::Closes];
+const DEPARTURES: [Departure; 2] = [Departure::Cancels, Departure::Closes];
 
 #[test]
 fn a_client_that_left_while_no_worker_took_work_is_not_sent_on() {
-    for leaves in WAYS {
+    for departure in DEPARTURES {
         let fixture = Fixture::new(&[Behaviour::Serve], 0);
         let worker = fixture.fleet.frames("h0");
         let mut client = fixture.client();
         client.send(&check(1, 0xa1));
-        until_taken(&fixture, 1);
-        let _stays = leaves.leave(client, 1);
+        until_accepted(&fixture, 1);
+        let _open_connection = departure.leave(client, 1);
         until_withdrawn(&fixture);
         fixture.channel.tell(2, "h0", worker, "up");
         let mut other = fixture.client();
         other.send(&check(1, 0xa2));
-        assert!(matches!(other.receive(), Some((1, Reply::Answer(_)))), "{leaves:?}");
-        std::thread::sleep(LONG_ENOUGH);
-        assert_eq!(fixture.fleet.sent().len(), 1, "{leaves:?}");
+        assert!(matches!(other.receive(), Some((1, Reply::Answer(_)))), "{departure:?}");
+        std::thread::sleep(OBSERVATION_TIME);
+        assert_eq!(fixture.fleet.sent().len(), 1, "{departure:?}");
     }
 }
 
 fn until_withdrawn(fixture: &Fixture) {
-    until("it is withdrawn", || {
+    until("the request is withdrawn", || {
         fixture.daemon.signal("USR1");
         fixture.daemon.errors().contains("withdrawn=1 ")
     });
@@ -84,7 +84,7 @@
 
 #[test]
 fn a_client_that_left_while_a_connection_came_up_is_not_sent_on() {
-    for leaves in WAYS {
+    for departure in DEPARTURES {
         let worker = SlowAcceptListener::new();
         let fixture = Fixture::with_settings(&[Behaviour::Serve], 0, 1024, 192, |settings| {
             settings["ceilings"]["connectTimeoutMs"] = json!(8000.0);
@@ -93,21 +93,21 @@
         fixture.channel.tell(2, "h0", worker.address, "up");
         let mut client = fixture.client();
         client.send(&check(1, 0xa1));
-        until("it waits for its connection", || {
+        until("the request waits for its connection", || {
             fixture.daemon.signal("USR1");
             fixture.daemon.errors().contains("sent=1 ")
         });
-        let _stays = leaves.leave(client, 1);
+        let _open_connection = departure.leave(client, 1);
         until_withdrawn(&fixture);
-        worker.accept(TEST_TIMEOUT).expect("what filled the queue");
-        let connection = worker.accept(TEST_TIMEOUT).expect("it comes up at last");
-        assert!(requests(&connection, LONG_ENOUGH).is_empty(), "{leaves:?}");
+        worker.accept(TEST_TIMEOUT).expect("the connection that filled the accept queue");
+        let connection = worker.accept(TEST_TIMEOUT).expect("the delayed connection");
+        assert!(requests(&connection, OBSERVATION_TIME).is_empty(), "{departure:?}");
     }
 }
 
 #[test]
 fn a_client_that_left_while_its_model_was_loaded_is_not_sent_on() {
-    for leaves in WAYS {
+    for departure in DEPARTURES {
         let fixture =
             Fixture::with_settings(&[Behaviour::Miss, Behaviour::Serve], 1, 1024, 192, |settings| {
                 settings["specifics"]["notLoaded"] = json!("miss");
@@ -118,18 +118,18 @@
         client.send(&check(1, 0xa1));
         until("the load is ordered", || !fixture.fleet.load_orders().is_empty());
         let before = fixture.fleet.sent().len();
-        let _stays = leaves.leave(client, 1);
+        let _open_connection = departure.leave(client, 1);
         until_withdrawn(&fixture);
         fixture.fleet.release();
-        std::thread::sleep(LONG_ENOUGH);
-        assert_eq!(fixture.fleet.sent().len(), before, "{leaves:?}");
+        std::thread::sleep(OBSERVATION_TIME);
+        assert_eq!(fixture.fleet.sent().len(), before, "{departure:?}");
     }
 }
 
-/// The first attempt breaks while no worker takes work, so that the second has to wait for one.
+/// The first attempt fails while no worker accepts work, so that the second has to wait for one.
 #[test]
 fn a_client_that_left_before_its_second_attempt_is_not_sent_on() {
-    for leaves in WAYS {
+    for departure in DEPARTURES {
         let worker = SlowAcceptListener::new();
         let fixture = Fixture::new(&[Behaviour::Serve], 0);
         fixture.channel.tell(2, "h0", worker.address, "up");
@@ -140,72 +140,72 @@
         fixture.channel.tell(3, "h0", worker.address, "draining");
         std::thread::sleep(Duration::from_millis(200));
         drop(first);
-        until("it broke", || {
+        until("the attempt has failed", || {
             fixture.daemon.signal("USR1");
             fixture.daemon.errors().contains("lost_reset=1 ")
         });
-        let _stays = leaves.leave(client, 1);
+        let _open_connection = departure.leave(client, 1);
         until_withdrawn(&fixture);
         fixture.channel.tell(4, "h0", worker.address, "up");
-        assert!(worker.accept(LONG_ENOUGH).is_none(), "{leaves:?}");
+        assert!(worker.accept(OBSERVATION_TIME).is_none(), "{departure:?}");
     }
 }
 
-/// Guards the same while the process ends: once connections were let go, a client that closed its own was not seen any
-/// more, and its request went out as soon as a worker took work.
+/// The same during shutdown: once the daemon had started to close connections it no longer noticed that a client closed its
+/// own, and sent the request as soon as a worker accepted work.
 #[test]
 fn a_client_that_left_during_the_drain_is_not_sent_on() {
-    for leaves in WAYS {
+    for departure in DEPARTURES {
         let mut fixture = Fixture::new(&[Behaviour::Serve], 0);
         let worker = fixture.fleet.frames("h0");
         let (mut leaver, mut stayer) = (fixture.client(), fixture.client());
         leaver.send(&check(1, 0xa1));
         stayer.send(&check(1, 0xa2));
-        until_taken(&fixture, 2);
+        until_accepted(&fixture, 2);
         fixture.daemon.signal("TERM");
-        std::thread::sleep(LET_GO);
-        let _stays = leaves.leave(leaver, 1);
+        std::thread::sleep(CLOSING_AFTER_SIGTERM);
+        let _open_connection = departure.leave(leaver, 1);
         std::thread::sleep(Duration::from_millis(200));
         fixture.channel.tell(2, "h0", worker, "up");
-        assert!(matches!(stayer.receive(), Some((1, Reply::Answer(_)))), "{leaves:?}");
+        assert!(matches!(stayer.receive(), Some((1, Reply::Answer(_)))), "{departure:?}");
         assert_eq!(fixture.daemon.exit_code(), Some(0));
-        assert_eq!(fixture.fleet.sent().len(), 1, "{leaves:?}");
+        assert_eq!(fixture.fleet.sent().len(), 1, "{departure:?}");
     }
 }
 
-/// Guards requests that stand unread when their connections are let go: with the reading side shut, a client that left
-/// was not seen to leave, and its request went out as soon as a worker took work.
+/// Requests may be unread when the daemon starts to close their connections. With the reading side shut down it did not
+/// notice that the client left, and sent the request as soon as a worker accepted work.
 #[test]
-fn a_client_whose_request_stood_unread_at_the_drain_is_seen_to_leave() {
+fn a_client_whose_request_was_unread_at_the_drain_is_noticed_when_it_leaves() {
     const CLIENTS: u64 = 40;
     let fixture = Fixture::new(&[Behaviour::Serve], 0);
     let worker = fixture.fleet.frames("h0");
     assert!(ask(fixture.admin, "PUT", "/v1/invoker/drain", &[], b"").status < 300);
     let called = Instant::now();
     let mut clients: Vec<Client> = (0..CLIENTS).map(|_| fixture.client()).collect();
-    std::thread::sleep(LET_GO_DRAINED.saturating_sub(called.elapsed() + Duration::from_millis(300)));
+    std::thread::sleep(CLOSING_AFTER_DRAIN.saturating_sub(called.elapsed() + Duration::from_millis(300)));
     fixture.daemon.signal("STOP");
     for (client, id) in clients.iter_mut().zip(0x100..) {
         client.send(&check(1, id));
     }
-    std::thread::sleep(LET_GO_DRAINED.saturating_sub(called.elapsed()) + Duration::from_millis(100));
+    std::thread::sleep(CLOSING_AFTER_DRAIN.saturating_sub(called.elapsed()) + Duration::from_millis(100));
     fixture.daemon.signal("CONT");
-    until_taken(&fixture, CLIENTS as u32);
+    until_accepted(&fixture, CLIENTS as u32);
     drop(clients);
     let withdrawn = format!("withdrawn={CLIENTS} ");
-    until("all are withdrawn", || {
+    until("all requests are withdrawn", || {
         fixture.daemon.signal("USR1");
         fixture.daemon.errors().contains(&withdrawn)
     });
     fixture.channel.tell(2, "h0", worker, "up");
-    std::thread::sleep(LONG_ENOUGH);
+    std::thread::sleep(OBSERVATION_TIME);
     assert!(fixture.fleet.sent().is_empty());
 }
 
-/// Guards what has come by the end of the process and was not read: the process stands still from the time in which it
-/// takes requests to after it, and finds them all at once.
+/// Requests that arrive before shutdown are answered although they are read late: the process is stopped while it still
+/// accepts requests and continued after that time, and then finds them all at once.
 #[test]
-fn what_came_by_the_end_of_the_process_is_answered() {
+fn requests_that_arrived_before_shutdown_are_answered() {
     let mut fixture = Fixture::new(&[Behaviour::Serve], 1);
     let mut clients: Vec<Client> = (0..40).map(|_| fixture.client()).collect();
     for (number, client) in clients.iter_mut().enumerate() {
@@ -219,7 +219,7 @@
     for (number, client) in clients.iter_mut().enumerate() {
         client.send(&check(2, 0x200 + number as u64));
     }
-    std::thread::sleep(LET_GO);
+    std::thread::sleep(CLOSING_AFTER_SIGTERM);
     fixture.daemon.signal("CONT");
     for (number, client) in clients.iter_mut().enumerate() {
         let reply = client.receive();
@@ -228,9 +228,9 @@
     assert_eq!(fixture.daemon.exit_code(), Some(0));
 }
 
-/// Guards a request that comes in the instant in which its idle connection is closed: what has come by then is read.
+/// A request that arrives just as its idle connection times out is read and answered.
 #[test]
-fn a_request_at_the_end_of_an_idle_connections_time_is_answered() {
+fn a_request_at_the_idle_timeout_of_its_connection_is_answered() {
     let fixture = Fixture::new(&[Behaviour::Serve], 1);
     let mut client = fixture.client();
     client.send(&check(1, 0xa1));
@@ -238,19 +238,20 @@
     std::thread::sleep(Duration::from_millis(4000));
     fixture.daemon.signal("STOP");
     client.send(&check(2, 0xa2));
-    // Its time, 4.5 s, is over meanwhile.
+    // The idle timeout of 4.5 s passes meanwhile.
     std::thread::sleep(Duration::from_millis(800));
     fixture.daemon.signal("CONT");
     assert!(matches!(client.receive(), Some((2, Reply::Answer(_)))));
 }
 
-/// A request waits, since no worker takes work; one that would, its client, and the channel that the file names now.
-fn one_waits_and_the_channel_moves() -> (Fixture, SocketAddr, Client, Channel) {
+/// Starts a daemon with a request that waits because there is no worker, and points its configuration to a new channel.
+/// Returns the fixture, the address of a worker, the client and the new channel.
+fn waiting_request_with_new_channel() -> (Fixture, SocketAddr, Client, Channel) {
     let fixture = Fixture::new(&[Behaviour::Serve], 0);
     let worker = fixture.fleet.frames("h0");
     let mut client = fixture.client();
     client.send(&check(1, 0xa1));
-    until_taken(&fixture, 1);
+    until_accepted(&fixture, 1);
     let next = Channel::new();
     reload_to(&fixture, &next);
     (fixture, worker, client, next)
@@ -262,11 +263,11 @@
     fixture.folder.write("config.json", &config.to_string());
 }
 
-/// Guards the news of the workers while the process ends: a reload that comes behind SIGTERM used to be left undone, and
-/// the old channel may be no more.
+/// A reload that followed SIGTERM used to be ignored. The process needs it to receive worker updates, since the old channel
+/// may be gone.
 #[test]
-fn a_reload_is_heeded_while_the_process_ends() {
-    let (mut fixture, worker, mut client, next) = one_waits_and_the_channel_moves();
+fn a_reload_during_shutdown_is_applied() {
+    let (mut fixture, worker, mut client, next) = waiting_request_with_new_channel();
     fixture.daemon.signal("TERM");
     std::thread::sleep(Duration::from_millis(100));
     fixture.daemon.signal("HUP");
@@ -275,11 +276,11 @@
     assert_eq!(fixture.daemon.exit_code(), Some(0));
 }
 
-/// Both signals stand when the process looks; whichever it takes first, both are heeded.
+/// Both signals are pending when the process checks; both are handled, in either order.
 #[test]
-fn sighup_and_sigterm_at_once_are_both_heeded() {
+fn simultaneous_sighup_and_sigterm_are_both_handled() {
     for [first, second] in [["HUP", "TERM"], ["TERM", "HUP"]] {
-        let (mut fixture, worker, mut client, next) = one_waits_and_the_channel_moves();
+        let (mut fixture, worker, mut client, next) = waiting_request_with_new_channel();
         fixture.daemon.signal("STOP");
         fixture.daemon.signal(first);
         fixture.daemon.signal(second);
@@ -291,20 +292,19 @@
     }
 }
 
-/// Guards what is owed on a connection on which half a message stands: that half used to end the connection, and the
-/// requests open on it with it.
+/// An incomplete message on a connection used to close it together with the requests still open on it.
 #[test]
-fn half_a_message_does_not_end_what_is_owed_before_it() {
+fn an_incomplete_message_does_not_end_open_requests_before_it() {
     let fixture = Fixture::new(&[Behaviour::Hold], 1);
     let mut client = fixture.client();
     let open = fixture.send_until_dispatched(&mut client, 0xa1, "8000");
     let next = check(open + 1, 0xb1);
     client.send(&next[..next.len() / 2]);
-    // Longer than a message may take where nothing is owed.
+    // Longer than an incomplete message is waited for on a connection without open requests.
     std::thread::sleep(Duration::from_millis(2200));
     fixture.fleet.release();
     assert!(matches!(client.receive(), Some((seqid, Reply::Answer(_))) if seqid == open));
-    assert_eq!(client.receive(), None, "nothing is owed any more, and the message has had its time");
+    assert_eq!(client.receive(), None, "no request is open, and the message has timed out");
 }
 
 #[test]
@@ -319,10 +319,10 @@
     assert!(matches!(client.receive(), Some((1, Reply::Answer(_)))));
 }
 
-/// Guards the window of a keyed class, which may be shorter than a connection takes to come up: a repeat that would go
-/// out after it does not go out.
+/// The deduplication window of a keyed class may be shorter than connecting takes: a repeat is not sent once the window
+/// has passed.
 #[test]
-fn a_keyed_repeat_goes_out_within_its_window_or_not_at_all() {
+fn a_keyed_repeat_is_sent_within_its_deduplication_window_or_not_at_all() {
     let worker = SlowAcceptListener::new();
     let fixture = Fixture::with_settings(&[Behaviour::Serve], 0, 1024, 192, |settings| {
         settings["ceilings"]["connectTimeoutMs"] = json!(3000.0);
@@ -340,22 +340,22 @@
         fixture.daemon.signal("USR1");
         fixture.daemon.errors().contains("sent=2 ")
     });
-    worker.accept(TEST_TIMEOUT).expect("what filled the queue");
-    let second = worker.accept(TEST_TIMEOUT).expect("it comes up, a second late");
-    assert!(requests(&second, LONG_ENOUGH).is_empty(), "the window is over");
+    worker.accept(TEST_TIMEOUT).expect("the connection that filled the accept queue");
+    let second = worker.accept(TEST_TIMEOUT).expect("the delayed connection");
+    assert!(requests(&second, OBSERVATION_TIME).is_empty(), "the window is over");
     assert_eq!(client.receive(), Some((1, Reply::Crashed)), "it may have run");
 }
 
-/// A connection that comes up late, or never, holds up nobody beyond the time that it is given.
+/// A request waits for a connection that is not established no longer than the connect timeout.
 #[test]
-fn a_connection_that_never_comes_up_is_given_up_and_another_worker_serves() {
+fn a_connection_that_is_never_established_times_out_and_another_worker_serves() {
     let worker = SlowAcceptListener::new();
     let fixture = Fixture::new(&[Behaviour::Serve], 0);
     let _full = worker.fill();
     fixture.channel.tell(2, "h0", worker.address, "up");
     let mut client = fixture.client();
     client.send(&check(1, 0xa1));
-    until("it failed there", || {
+    until("the connection attempt has failed", || {
         fixture.daemon.signal("USR1");
         fixture.daemon.errors().contains("dials_failed=1 ")
     });
@@ -363,35 +363,34 @@
     assert!(matches!(client.receive(), Some((1, Reply::Answer(_)))), "{}", fixture.daemon.errors());
 }
 
-/// Guards the rule on drains against a watch that stays open and brings nothing more: it is called again, from the last
-/// event heard.
+/// A command channel that stays open but sends nothing is reconnected from the last event, so that drains are not missed.
 #[test]
-fn a_watch_that_falls_silent_is_called_again() {
+fn a_silent_command_channel_is_reconnected() {
     let fixture = Fixture::new(&[Behaviour::Serve], 2);
     assert_eq!(fixture.channel.calls.recv_timeout(TEST_TIMEOUT).as_deref(), Ok("1"));
     fixture.channel.tell(2, "h9", free_address(), "removed");
     fixture.channel.events.send("fall silent".into()).expect("channel");
     assert_eq!(fixture.channel.calls.recv_timeout(TEST_TIMEOUT).as_deref(), Ok("2"));
     fixture.channel.tell(3, "h0", fixture.hosts[0], "draining");
-    sent_to_h1_alone(&fixture);
+    assert_only_h1_is_sent_requests(&fixture);
 }
 
-/// Guards the same against a watch that repeats events and goes back behind those that were heard.
+/// A channel that repeats events or sends events older than those received must not revert a drain.
 #[test]
-fn what_a_watch_repeats_takes_nothing_back() {
+fn repeated_channel_events_revert_nothing() {
     let fixture = Fixture::new(&[Behaviour::Serve], 2);
     fixture.channel.tell(2, "h0", fixture.hosts[0], "up");
     fixture.channel.tell(3, "h0", fixture.hosts[0], "draining");
     fixture.channel.tell(2, "h0", fixture.hosts[0], "up");
     fixture.channel.tell(3, "h0", fixture.hosts[0], "up");
     fixture.channel.tell(1, "h0", fixture.hosts[0], "up");
-    // Told behind them all, so that they were read once it is heeded.
+    // Sent after all of them: once the daemon reconnects it has read them.
     fixture.channel.events.send("hang up".into()).expect("channel");
-    until("it is called again from the last", || fixture.channel.calls.try_iter().any(|call| call == "3"));
-    sent_to_h1_alone(&fixture);
+    until("it reconnects from the last event", || fixture.channel.calls.try_iter().any(|call| call == "3"));
+    assert_only_h1_is_sent_requests(&fixture);
 }
 
-fn sent_to_h1_alone(fixture: &Fixture) {
+fn assert_only_h1_is_sent_requests(fixture: &Fixture) {
     let mut client = fixture.client();
     std::thread::sleep(Duration::from_millis(300));
     let before = fixture.fleet.sent().len();
@@ -404,7 +403,7 @@
 }
 
 #[test]
-fn discovery_that_is_down_at_the_start_holds_up_nobody_and_is_heard_once_it_is_up() {
+fn a_command_channel_that_is_down_at_start_blocks_no_request_and_is_read_once_it_is_up() {
     let fixture = Fixture::new(&[Behaviour::Serve], 2);
     let mut config = fixture.config.clone();
     let discovery = free_address();
@@ -413,15 +412,18 @@
     let daemon = Daemon::platform(&path, free_address());
     let mut client = Client::new(daemon.address);
     client.send(&check(1, 0xa1));
-    assert!(matches!(client.receive(), Some((1, Reply::Answer(_)))), "by the hosts known at the start");
+    assert!(
+        matches!(client.receive(), Some((1, Reply::Answer(_)))),
+        "served by the hosts of the configuration"
+    );
     let channel = Channel::at(discovery);
     assert_eq!(channel.calls.recv_timeout(Duration::from_secs(5)).as_deref(), Ok("1"));
 }
 
-/// Guards the usual clients against floods of what can't be read, of new connections and of requests: memory stays
-/// bounded, and they are served meanwhile.
+/// Floods of invalid data, new connections and requests must not exceed the memory limit, and a regular client is served
+/// meanwhile.
 #[test]
-fn a_flood_holds_up_no_usual_client() {
+fn a_flood_does_not_block_a_regular_client() {
     let fixture = Fixture::with_limits(&[Behaviour::Serve], 1, 256, 32);
     let address = fixture.daemon.address;
     let flood = |bytes: Vec<u8>| {
@@ -434,24 +436,25 @@
         })
     };
     let requests: Vec<u8> = (1..=64).flat_map(|number| check(number, 0x1000 + number as u64)).collect();
-    // Whoever never had an answer gives way first, so this one is a usual client from its first answer on.
-    let mut usual = fixture.client();
-    usual.send(&check(1, 0xa000));
-    assert!(matches!(usual.receive(), Some((1, Reply::Answer(_)))));
+    // Connections that never had an answer are closed first, so from its first answer on this client is preferred to them.
+    let mut regular = fixture.client();
+    regular.send(&check(1, 0xa000));
+    assert!(matches!(regular.receive(), Some((1, Reply::Answer(_)))));
     let floods = [flood(vec![7; 64]), flood(Vec::new()), flood(vec![0, 0, 0, 9, 1]), flood(requests)];
     for number in 2..=200 {
-        usual.send(&check(number, 0xa000 + number as u64));
-        let reply = usual.receive();
+        regular.send(&check(number, 0xa000 + number as u64));
+        let reply = regular.receive();
         assert!(matches!(reply, Some((_, Reply::Answer(_) | Reply::Rejected(_)))), "{number}: {reply:?}");
     }
     floods.into_iter().for_each(|flood| flood.join().expect("ends"));
-    // What is left of the flood in the queue may still want its place before its first request is there; it comes again.
+    // Connections of the flood that are still queued may take the slot of a new client before its first request arrives, so
+    // it retries.
     let served = (1..=20).any(|number| {
         let mut late = fixture.client();
         late.socket.write_all(&check(1, 0xb000 + number)).is_ok()
             && matches!(late.receive(), Some((1, Reply::Answer(_))))
     });
-    assert!(served, "nobody is served after the flood: {}", fixture.daemon.errors());
+    assert!(served, "no client is served after the flood: {}", fixture.daemon.errors());
     let status =
         std::fs::read_to_string(format!("/proc/{}/status", fixture.daemon.child.id())).expect("Linux");
     let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).expect("a line");
@@ -459,28 +462,28 @@
     assert!(kilobytes / 1024.0 < 32.0, "{peak}");
 }
 
-/// Guards a request that has come on a connection whose place is given to another: both directions were shut at once, so
-/// that it was taken and its answer could not be written. There is one place; the newcomer stands in the queue before the
-/// request is written, and the program stands still meanwhile.
+/// A request may arrive on an idle connection that is being closed to make room. Both directions used to be shut down at
+/// once, so that the request was accepted and its answer could not be written. There is room for one connection; the new
+/// one is queued before the request is written, while the daemon is stopped.
 #[test]
-fn a_request_that_came_before_its_connection_gave_way_is_answered() {
-    let fixture = Fixture::with_descriptor_limit(&[Behaviour::Serve], 1, ONE_PLACE);
+fn a_request_that_arrives_before_its_connection_is_closed_to_make_room_is_answered() {
+    let fixture = Fixture::with_descriptor_limit(&[Behaviour::Serve], 1, ONE_CONNECTION);
     let mut client = fixture.client();
     client.send(&check(1, 0xa1));
     assert!(matches!(client.receive(), Some((1, Reply::Answer(_)))));
     fixture.daemon.signal("STOP");
-    let mut newcomer = fixture.client();
+    let mut new_client = fixture.client();
     client.send(&check(2, 0xa2));
     fixture.daemon.signal("CONT");
     assert!(matches!(client.receive(), Some((2, Reply::Answer(_)))));
-    assert_eq!(client.receive(), None, "it has given way");
-    newcomer.send(&check(1, 0xb1));
-    assert!(matches!(newcomer.receive(), Some((1, Reply::Answer(_)))));
+    assert_eq!(client.receive(), None, "closed to make room");
+    new_client.send(&check(1, 0xb1));
+    assert!(matches!(new_client.receive(), Some((1, Reply::Answer(_)))));
 }
 
-/// An answer behind its request's being taken back reaches nobody, and the connection goes on.
+/// An answer that arrives after its request was cancelled is dropped, and the connection stays usable.
 #[test]
-fn an_answer_behind_a_cancel_reaches_nobody() {
+fn an_answer_after_a_cancel_is_dropped() {
     let fixture = Fixture::new(&[Behaviour::Hold], 1);
     let mut client = fixture.client();
     let open = fixture.send_until_dispatched(&mut client, 0xa1, "8000");
@@ -491,9 +494,9 @@
     assert!(matches!(client.receive(), Some((seqid, Reply::Answer(_))) if seqid == open + 1));
 }
 
-/// An answer and the end of its request's time stand together when the program looks: one of them is told, once.
+/// The answer and the deadline of a request are both due when the daemon continues: the client gets one reply.
 #[test]
-fn an_answer_in_the_instant_of_a_time_out_is_told_once_or_not_at_all() {
+fn an_answer_at_the_moment_of_a_timeout_leads_to_one_reply() {
     let fixture = Fixture::new(&[Behaviour::Hold, Behaviour::Serve], 1);
     let mut client = fixture.client();
     let open = fixture.send_until_dispatched(&mut client, 0xa1, "2000");
@@ -508,13 +511,12 @@
     assert!(matches!(client.receive(), Some((seqid, Reply::Answer(_))) if seqid == open + 1));
 }
 
-/// A worker whose machine takes what is written to it and reads none of it: each request has its end in time, and another
-/// worker serves.
+/// A worker whose kernel accepts data that the worker never reads: each request ends in time, and another worker serves.
 #[test]
-fn a_worker_that_reads_none_holds_up_nobody() {
+fn a_worker_that_never_reads_blocks_no_request() {
     let fixture = Fixture::new(&[Behaviour::Serve], 1);
-    let deaf = TcpListener::bind("127.0.0.1:0").expect("a port");
-    fixture.channel.tell(2, "h9", deaf.local_addr().expect("bound"), "up");
+    let unread = TcpListener::bind("127.0.0.1:0").expect("a port");
+    fixture.channel.tell(2, "h9", unread.local_addr().expect("bound"), "up");
     let (mut clients, body) = ((0..8).map(|_| fixture.client()).collect::<Vec<_>>(), vec![7; 16 << 10]);
     let (mut answers, start) = (0, Instant::now());
     for round in 1..=10 {
@@ -532,15 +534,15 @@
     assert!(start.elapsed() < Duration::from_secs(10 * 2), "{:?}", start.elapsed());
 }
 
-/// New versions of what is loaded come while nothing else is amiss: no call is lost, and nearly all are served.
+/// New versions of models arrive while nothing else fails: every call is answered, and at least nine of ten are served.
 #[test]
-fn new_versions_on_a_quiet_day_lose_no_call() {
+fn new_model_versions_lose_no_call() {
     let fixture = Fixture::with_settings(&[Behaviour::Serve], 3, 1024, 192, |settings| {
         settings["specifics"]["notLoaded"] = json!("miss");
         settings["specifics"]["placementCalls"] = json!(true);
     });
     fixture.fleet.require_load_orders();
-    // A client for each model, which opens fewer than a connection may.
+    // One client per model, so that each connection stays under its limit of open requests.
     let mut clients: Vec<Client> = (0..6).map(|_| fixture.client()).collect();
     let mut replies = Vec::new();
     for version in 1..=3 {
@@ -567,10 +569,10 @@
     assert!(served * 10 >= replies.len() * 9, "{served} of {}: {replies:?}", replies.len());
 }
 
-/// The worker closes an idle connection in the instant in which the next request goes out on it: the program finds both
-/// when it goes on. What may be repeated is served on a new connection; what may not is not sent twice.
+/// The worker closes an idle connection just as the next request is sent on it; the daemon finds both when it continues. A
+/// request that may be repeated is served on a new connection, any other is not sent twice.
 #[test]
-fn a_request_at_the_end_of_a_workers_idle_connection_goes_out_as_its_class_allows() {
+fn a_request_on_a_connection_that_the_worker_closes_is_retried_as_its_class_allows() {
     for (effect, repeats) in [("pure", true), ("side_effect", false)] {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let fixture = Fixture::with_settings(&[Behaviour::Serve], 0, 1024, 192, |settings| {
@@ -590,10 +592,10 @@
             listener.set_nonblocking(true).expect("set");
             let start = Instant::now();
             let mut served = 0;
-            while start.elapsed() < 2 * LONG_ENOUGH {
+            while start.elapsed() < 2 * OBSERVATION_TIME {
                 if let Ok((mut socket, _)) = listener.accept() {
                     socket.set_nonblocking(false).expect("set");
-                    socket.set_read_timeout(Some(LONG_ENOUGH)).expect("set");
+                    socket.set_read_timeout(Some(OBSERVATION_TIME)).expect("set");
                     served += u32::from(serve_one(&mut socket));
                 }
                 std::thread::sleep(Duration::from_millis(5));
@@ -610,7 +612,7 @@
     }
 }
 
-/// Answers the next request that comes on a connection; whether one came.
+/// Answers the next request on a connection; returns whether there was one.
 fn serve_one(socket: &mut TcpStream) -> bool {
     let (mut buffer, mut chunk) = (Vec::new(), [0; 4096]);
     loop {
@@ -625,9 +627,9 @@
     }
 }
 
-/// Where nobody listens any more the caller is refused, and not left without an answer.
+/// After shutdown new connections are refused rather than left unanswered.
 #[test]
-fn a_listener_that_has_ended_refuses() {
+fn connections_after_shutdown_are_refused() {
     let mut fixture = Fixture::new(&[Behaviour::Serve], 1);
     let address: SocketAddr = fixture.daemon.address;
     fixture.daemon.signal("TERM");
--- a/crates/node/tests/platform.rs
+++ b/crates/node/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The started program on the platform's protocol: Thrift clients, framed workers, a command channel.
+//! The daemon with its Thrift front: Thrift clients, workers with the frame protocol, a command channel.
 mod support;
 
 use serde_json::json;
@@ -11,17 +11,17 @@
 use support::{free_address, until, Folder};
 
 #[test]
-fn alive_and_served_in_any_order() {
+fn answers_alive_and_serves_requests_out_of_order() {
     let fixture = Fixture::new(&[Behaviour::Hold, Behaviour::Serve], 2);
     let mut client = fixture.client();
     client.send(&message(1, "alive", 1, &[2, 0, 1, 1, 0]));
     assert_eq!(client.receive(), Some((1, Reply::Answer(Vec::new()))));
     client.send(&dispatch(2, &fields("check", "9b1f03aa5c7e2d41", "4000"), b"slow"));
-    until("the first is out", || fixture.fleet.sent().len() == 1);
+    until("the first request is in flight", || fixture.fleet.sent().len() == 1);
     client.send(&dispatch(3, &fields("check", "9b1f03aa5c7e2d42", "4000"), b"\x00\xff"));
     let second = client.receive();
     fixture.fleet.release();
-    // Both go to the warm worker, whose stand-in answers one after the other.
+    // Both requests go to the warm worker, and the fake worker answers them one after the other.
     let first = client.receive();
     let mut seqids: Vec<i32> =
         [&second, &first].iter().map(|reply| reply.as_ref().expect("answered").0).collect();
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn what_cannot_be_read_fails_under_its_number_and_the_connection_goes_on() {
+fn an_invalid_request_fails_under_its_sequence_number_and_the_connection_stays_open() {
     let fixture = Fixture::new(&[Behaviour::Serve], 1);
     let mut client = fixture.client();
     let good = fields("check", "9b1f03aa5c7e2d41", "4000");
@@ -82,36 +82,36 @@
     client.send(&dispatch(7, &good, &[7; 16 << 10]));
     assert!(matches!(client.receive(), Some((7, Reply::Answer(_)))));
     client.send(&[0, 0, 0, 4, 1, 2, 3, 4]);
-    assert_eq!(client.receive(), None, "no number is known, so the connection ends");
+    assert_eq!(client.receive(), None, "without a sequence number the connection is closed");
     assert_eq!(fixture.fleet.sent().len(), 1);
 }
 
 #[test]
-fn each_request_ends_before_its_time_is_up() {
+fn each_request_is_answered_before_its_own_deadline() {
     let fixture = Fixture::new(&[Behaviour::NoAnswer], 2);
     let mut client = fixture.client();
     let start = Instant::now();
     client.send(&dispatch(1, &fields("post", "9b1f03aa5c7e2d41", "600"), b"x"));
     assert_eq!(client.receive(), Some((1, Reply::Crashed)));
-    // Its own 600 ms count, not the 3 s of its class.
+    // The limit is the 600 ms of the request, not the 3 s of its class.
     assert!(start.elapsed() < Duration::from_millis(2500), "{:?}", start.elapsed());
     assert_eq!(fixture.fleet.sent().len(), 1);
 }
 
 #[test]
-fn a_cancelled_request_is_owed_no_answer_and_its_work_is_called_off() {
+fn a_cancelled_request_gets_no_answer_and_its_work_is_cancelled() {
     let fixture = Fixture::new(&[Behaviour::NoAnswer, Behaviour::Serve], 1);
     let mut client = fixture.client();
     client.send(&dispatch(1, &fields("check", "9b1f03aa5c7e2d41", "4000"), b"x"));
-    until("it is out", || fixture.fleet.sent().len() == 1);
+    until("the request is in flight", || fixture.fleet.sent().len() == 1);
     client.send(&message(4, "cancelRequest", 2, &[8, 0, 1, 0, 0, 0, 1, 0]));
-    until("it is called off", || fixture.fleet.cancelled() == 1);
+    until("the work is cancelled", || fixture.fleet.cancelled() == 1);
     client.send(&dispatch(3, &fields("check", "9b1f03aa5c7e2d42", "4000"), b"y"));
     assert!(matches!(client.receive(), Some((3, Reply::Answer(_)))), "only the second is answered");
 }
 
-/// Guards the rule on drains: nothing new goes to a host once the channel told of it, also when the
-/// telling followed a broken connection.
+/// Nothing new is sent to a host after the command channel has reported that it drains, also when the report comes on a
+/// connection that was reopened.
 #[test]
 fn a_host_that_drains_is_sent_nothing_more() {
     let fixture = Fixture::new(&[Behaviour::Serve], 2);
@@ -122,7 +122,7 @@
     assert_eq!(
         fixture.channel.calls.recv_timeout(support::TEST_TIMEOUT).as_deref(),
         Ok("2"),
-        "it resumes where it was"
+        "it resumes after the last event"
     );
     fixture.channel.tell(3, "h0", fixture.hosts[0], "draining");
     std::thread::sleep(Duration::from_millis(500));
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn refused_at_once_when_no_host_takes_it() {
+fn a_request_that_no_host_accepts_is_refused_at_once() {
     let fixture = Fixture::new(&[Behaviour::Refuse], 1);
     let mut client = fixture.client();
     client.send(&dispatch(1, &fields("post", "9b1f03aa5c7e2d41", "3000"), b"x"));
@@ -146,13 +146,13 @@
 }
 
 #[test]
-fn sigterm_lets_what_was_taken_end_and_exits_with_0() {
+fn sigterm_completes_accepted_requests_and_exits_with_0() {
     let mut fixture = Fixture::new(&[Behaviour::Hold], 1);
     let mut client = fixture.client();
     client.send(&dispatch(1, &fields("check", "9b1f03aa5c7e2d41", "4000"), b"x"));
-    until("it is out", || fixture.fleet.sent().len() == 1);
+    until("the request is in flight", || fixture.fleet.sent().len() == 1);
     fixture.daemon.signal("TERM");
-    // Connections and requests still come for a while, and are taken.
+    // Connections and requests are still accepted for a while after SIGTERM.
     std::thread::sleep(Duration::from_millis(100));
     let mut late = fixture.client();
     late.send(&dispatch(1, &fields("check", "9b1f03aa5c7e2d42", "4000"), b"y"));
@@ -190,16 +190,16 @@
     }
 }
 
-/// Guards against news that is lost behind news that can't be read.
+/// An event or entry that can't be parsed must not hide the valid ones that follow it.
 #[test]
-fn an_odd_event_or_entry_hides_no_other() {
+fn an_invalid_event_or_entry_does_not_hide_others() {
     let fixture = Fixture::new(&[Behaviour::Serve], 2);
     let mut client = fixture.client();
     fixture.channel.events.send("id: 2\ndata: {not json\n\n".into()).expect("channel");
     let mut event = nodes(3, false, &[("h8", fixture.hosts[0], "up"), ("h0", fixture.hosts[0], "draining")]);
     event["nodes"]["endpoints"][0]["address"] = json!("nowhere");
     fixture.channel.events.send(format!("id: 3\ndata: {event}\n\n")).expect("channel");
-    until("the odd entry is named", || fixture.daemon.errors().contains("nowhere"));
+    until("the invalid entry is logged", || fixture.daemon.errors().contains("nowhere"));
     std::thread::sleep(Duration::from_millis(200));
     for number in 0..4 {
         let id = format!("9b1f03aa5c7e2d4{number}");
@@ -208,7 +208,7 @@
     }
     assert!(fixture.fleet.sent().iter().all(|sent| sent.worker == "h1"), "{:?}", fixture.fleet.sent());
     fixture.daemon.signal("USR1");
-    until("they are counted", || {
+    until("both are counted", || {
         let errors = fixture.daemon.errors();
         ["channel_calls=1 ", "channel_odd=2 ", "dials=1 ", "dials_failed=0 "]
             .iter()
@@ -216,8 +216,8 @@
     });
 }
 
-/// Guards the limit on memory, which may be 32 MB: an open request costs some 26 KiB and its body, so what
-/// comes on top of 394 is refused at once instead of taking the process down.
+/// The memory limit may be 32 MB, and an open request takes about 26 KiB plus its body: requests beyond 394 are refused at
+/// once, so that the process does not run out of memory.
 #[test]
 fn more_requests_than_memory_allows_are_refused() {
     let fixture = Fixture::with_limits(&[Behaviour::NoAnswer], 1, 256, 32);
@@ -228,7 +228,7 @@
             client.send(&dispatch(number as i32 + 1, &fields("check", &id, "8000"), b"x"));
         }
     }
-    // 416 were sent; whichever came last were refused.
+    // 416 requests were sent, and the last ones to arrive were refused.
     let (told, replies) = channel();
     for mut client in clients {
         let told = told.clone();
@@ -240,17 +240,17 @@
     }
 }
 
-/// Guards the usual clients' places: those that connect and say nothing, send half a request, or ask once
-/// and stay used to hold them all, and everybody else was never taken up.
+/// Clients that connect without sending, send half a request, or stay connected after one request used to occupy all
+/// connection slots, so that no other client was accepted.
 #[test]
-fn who_is_owed_nothing_gives_way_to_newcomers() {
+fn connections_without_open_requests_are_closed_to_make_room_for_new_ones() {
     let fixture = Fixture::with_descriptor_limit(&[Behaviour::Serve], 1, 60);
     let mut stayers = Vec::new();
     for number in 0..30 {
         let mut stayer = fixture.client();
         let id = format!("{:016x}", number + 1);
         stayer.send(&dispatch(1, &fields("check", &id, "4000"), b"x"));
-        assert!(matches!(stayer.receive(), Some((1, Reply::Answer(_)))), "client {number} is taken up");
+        assert!(matches!(stayer.receive(), Some((1, Reply::Answer(_)))), "client {number} is served");
         stayers.push(stayer);
     }
     let mut silent: Vec<Client> = (0..60).map(|_| fixture.client()).collect();
@@ -261,7 +261,7 @@
     usual.send(&dispatch(1, &fields("check", "9b1f03aa5c7e2d42", "4000"), b"x"));
     let reply = usual.receive();
     assert!(matches!(reply, Some((1, Reply::Answer(_)))), "{reply:?} {}", fixture.daemon.errors());
-    // And all of them are closed within a few seconds, crowd or none.
+    // All of them are closed within a few seconds, even if no other client needs the slot.
     for client in silent.iter_mut().chain(&mut halves) {
         client.socket.set_read_timeout(Some(Duration::from_secs(3))).expect("set");
         let end = client.socket.read(&mut [0; 8]);
@@ -269,10 +269,9 @@
     }
 }
 
-/// Guards against answering one of two requests under one number, which its client could take for the
-/// other's.
+/// A client can't tell which of two requests with the same sequence number an answer belongs to.
 #[test]
-fn two_requests_under_one_number_end_their_connection() {
+fn two_open_requests_with_one_sequence_number_close_the_connection() {
     let fixture = Fixture::new(&[Behaviour::Hold], 1);
     let mut client = fixture.client();
     client.send(&dispatch(1, &fields("check", "9b1f03aa5c7e2d41", "4000"), b"x"));
@@ -281,14 +280,14 @@
     fixture.fleet.release();
 }
 
-/// Guards a reload: SIGHUP used to end the process. It must go on at the new channel's address from the
-/// event it last heard, leave open requests alone, and keep to the old file where the new one is no use.
+/// SIGHUP used to end the process. A reload must connect to the new channel and resume after the last event received, keep
+/// open requests, and keep the old configuration if the new file is invalid.
 #[test]
-fn sighup_moves_to_the_new_channel_and_keeps_what_is_open() {
+fn sighup_moves_to_the_new_channel_and_keeps_open_requests() {
     let fixture = Fixture::new(&[Behaviour::Hold, Behaviour::Serve], 2);
     let mut client = fixture.client();
     client.send(&dispatch(1, &fields("check", "9b1f03aa5c7e2d41", "4000"), b"x"));
-    until("it is out", || fixture.fleet.sent().len() == 1);
+    until("the request is in flight", || fixture.fleet.sent().len() == 1);
     let held_at = fixture.fleet.sent()[0].worker.clone();
     assert_eq!(fixture.channel.calls.recv_timeout(support::TEST_TIMEOUT).as_deref(), Ok("1"));
     fixture.channel.tell(2, "h9", free_address(), "removed");
@@ -309,38 +308,40 @@
         }
     }
     fixture.fleet.release();
-    assert!(matches!(client.receive(), Some((1, Reply::Answer(_)))), "open requests are left alone");
+    assert!(matches!(client.receive(), Some((1, Reply::Answer(_)))), "open requests are kept");
     std::thread::sleep(Duration::from_millis(200));
     for number in 2..6 {
         let id = format!("9b1f03aa5c7e2d4{number}");
         client.send(&dispatch(number, &fields("check", &id, "4000"), b"x"));
         assert!(matches!(client.receive(), Some((_, Reply::Answer(_)))));
     }
-    assert!(fixture.fleet.sent().iter().all(|sent| sent.worker == held_at), "news of the new channel counts");
+    assert!(
+        fixture.fleet.sent().iter().all(|sent| sent.worker == held_at),
+        "events of the new channel are applied"
+    );
 }
 
-/// Guards the times of a planned restart: what comes late is refused at once, and what would outlast the
-/// process is ended before SIGKILL can find it unanswered.
+/// During a planned restart late requests are refused at once, and requests that would outlast the process are failed, so
+/// that SIGKILL leaves none unanswered.
 #[test]
-fn sigterm_ends_what_would_outlast_the_process() {
+fn sigterm_fails_requests_that_would_outlast_the_process() {
     let mut fixture = Fixture::new(&[Behaviour::NoAnswer], 1);
     let mut client = fixture.client();
     client.send(&dispatch(1, &fields("check", "9b1f03aa5c7e2d41", "4000"), b"x"));
-    until("it is out", || fixture.fleet.sent().len() == 1);
+    until("the request is in flight", || fixture.fleet.sent().len() == 1);
     let start = Instant::now();
     fixture.daemon.signal("TERM");
     std::thread::sleep(Duration::from_millis(800));
     client.send(&dispatch(2, &fields("check", "9b1f03aa5c7e2d42", "4000"), b"y"));
-    assert!(matches!(client.receive(), Some((2, Reply::Rejected(_)))), "too late to be taken");
+    assert!(matches!(client.receive(), Some((2, Reply::Rejected(_)))), "too late to be accepted");
     assert_eq!(client.receive(), Some((1, Reply::Crashed)));
     assert!(start.elapsed() < Duration::from_millis(3700), "{:?}", start.elapsed());
     assert_eq!(fixture.daemon.exit_code(), Some(0));
 }
 
-/// Guards against an answer that comes twice: its second copy must not settle the next attempt, which goes
-/// out under the same id.
+/// A duplicate answer to one attempt must not complete the next attempt, which is sent under the same id.
 #[test]
-fn a_second_copy_settles_no_later_attempt() {
+fn a_duplicate_answer_does_not_complete_a_later_attempt() {
     let fixture = Fixture::new(&[Behaviour::MissTwice, Behaviour::DelayedServe], 1);
     let mut client = fixture.client();
     client.send(&dispatch(1, &fields("check", "9b1f03aa5c7e2d41", "4000"), b"x"));
@@ -348,9 +349,9 @@
     assert_eq!(fixture.fleet.sent().len(), 2);
 }
 
-/// Guards memory and the connection's end against messages that say they are huge.
+/// A message that announces an excessive length closes its connection; it is neither buffered nor waited for.
 #[test]
-fn a_message_without_end_is_not_waited_for() {
+fn a_message_with_an_excessive_length_closes_its_connection() {
     let fixture = Fixture::new(&[Behaviour::Serve], 1);
     for size in [i32::MAX, -1, 70_000] {
         let mut client = fixture.client();
@@ -359,8 +360,8 @@
     }
 }
 
-/// Guards long answers: a client that reads slowly gets all of its own, and meanwhile neither other clients nor the
-/// worker's connection that the answer came on wait for it.
+/// A client that reads long answers slowly gets all of them, and blocks neither other clients nor the worker connection
+/// that the answers arrived on.
 #[test]
 fn a_long_answer_that_is_read_slowly_holds_up_nobody_else() {
     let fixture = Fixture::with_limits(
@@ -379,11 +380,11 @@
     for number in 1..=4 {
         slow.send(&dispatch(number, &fields("check", &format!("{number:016x}"), "4000"), b"x"));
     }
-    until("all are out", || fixture.fleet.sent().len() == 4);
+    until("all requests are in flight", || fixture.fleet.sent().len() == 4);
     let mut other = fixture.client();
     other.send(&dispatch(1, &fields("check", "00000000000000aa", "4000"), b"y"));
     assert_eq!(other.receive(), Some((1, Reply::Answer(b"done: y".to_vec()))));
-    // Longer in all than a message may be left untouched.
+    // Takes longer in total than the time after which a message without progress is given up.
     let mut read = 0;
     let mut chunk = [0; 8192];
     while read < 4 * LONG {
@@ -397,10 +398,10 @@
     assert!(fixture.daemon.errors().contains("dials=1 "), "{}", fixture.daemon.errors());
 }
 
-/// Guards the platform's memory against names that clients make up: what has been learnt of them stays under
-/// its cap, the longest unused goes, and every request is answered.
+/// Clients that send ever new model names must not exhaust memory: the statistics learnt per model stay under their cap by
+/// evicting the least recently used, and every request is answered.
 #[test]
-fn ever_new_model_names_stay_within_what_may_be_learnt() {
+fn statistics_of_ever_new_model_names_stay_within_their_memory_cap() {
     let fixture = Fixture::with_limits(&[Behaviour::Serve], 2, 1024, 14);
     let mut client = fixture.client();
     for number in 0..1500i32 {
@@ -419,5 +420,5 @@
         text.and_then(|text| text.parse().ok()).unwrap_or_else(|| panic!("{key} in {learnt}"))
     };
     assert!(figure("peak") <= figure("cap") && figure("peak") * 2 > figure("cap"), "{learnt}");
-    assert!(figure("refused") > 0, "the cap was met: {learnt}");
+    assert!(figure("refused") > 0, "the cap was reached: {learnt}");
 }
--- a/crates/node/tests/styles.rs
+++ b/crates/node/tests/styles.rs
@@ -1,4 +1,4 @@
-//! The same scenarios in every style, from clients and toward workers: equal outcomes, equal sends.
+//! Runs the same scenarios in every combination of client and worker style, and compares outcomes and sent calls.
 mod support;
 
 use std::io::{BufReader, Read, Write};
@@ -30,7 +30,7 @@
     (Client::Deferred, Server::Frames),
 ];
 
-/// A started daemon with two workers in racks of their own.
+/// A daemon with two workers in the given cells.
 struct Fixture {
     client: Client,
     daemon: Daemon,
@@ -39,7 +39,7 @@
     folder: Folder,
 }
 
-/// How a call ended: what a client is told of it.
+/// The outcome of a call as its client sees it.
 #[derive(Debug, PartialEq)]
 struct End {
     status: u16,
@@ -52,7 +52,7 @@
         Self::with_limits(style, script, cells, "")
     }
 
-    /// The same with limits of the test's own.
+    /// Like [`Fixture::new`]; `limits` is added to the deploy file.
     fn with_limits(
         (client, server): (Client, Server),
         script: &[Behaviour],
@@ -105,11 +105,11 @@
         if accepted.status != 202 {
             return end(&accepted);
         }
-        let location = accepted.header("location").expect("where the answer will be").to_string();
+        let location = accepted.header("location").expect("the location of the answer").to_string();
         end(&ask(daemon, "GET", &location, &[("Prefer", "wait=30")], b""))
     }
 
-    /// Starts a call and leaves its client there, who has been told no more than that it was accepted.
+    /// Starts a call and returns its connection; a deferred call has been accepted but not answered.
     fn start(&self, function: &str) -> TcpStream {
         let path = format!("/v1/functions/{function}/invocations");
         let key = ("Idempotency-Key", "started");
@@ -138,17 +138,17 @@
         status["counters"][counter].as_u64().expect("a counter")
     }
 
-    /// The client leaves; a call that waits for nobody else is withdrawn.
+    /// Disconnects the client. A synchronous call is withdrawn then; a deferred one continues.
     fn leave(&self, socket: TcpStream) {
         drop(socket);
         match self.client {
-            Client::Synchronous => until("it is withdrawn", || self.counted("withdrawn") == 1),
+            Client::Synchronous => until("the request is withdrawn", || self.counted("withdrawn") == 1),
             Client::Deferred => std::thread::sleep(Duration::from_millis(100)),
         }
     }
 
-    /// How many of the calls whose clients have left go on.
-    fn goes_on(&self) -> usize {
+    /// Number of calls that continue after their client has left, out of one.
+    fn continuing_calls(&self) -> usize {
         usize::from(self.client == Client::Deferred)
     }
 
@@ -163,16 +163,16 @@
     End { status: response.status, may_have_run, body }
 }
 
-/// Plays a scenario in all styles and gives what all of them came to.
+/// Runs a scenario in all styles, checks that its results are equal, and returns the result.
 fn in_all_styles<T: PartialEq + std::fmt::Debug>(
     script: &[Behaviour],
     cells: [u32; 2],
-    play: impl Fn(&Fixture) -> T,
+    scenario: impl Fn(&Fixture) -> T,
 ) -> T {
-    let mut ends = STYLES.iter().map(|style| (style, play(&Fixture::new(*style, script, cells))));
+    let mut ends = STYLES.iter().map(|style| (style, scenario(&Fixture::new(*style, script, cells))));
     let (_, first) = ends.next().expect("styles");
     for (style, end) in ends {
-        assert_eq!(end, first, "{style:?} comes to something else than {:?}", STYLES[0]);
+        assert_eq!(end, first, "{style:?} differs from {:?}", STYLES[0]);
     }
     first
 }
@@ -192,10 +192,10 @@
     }
 }
 
-/// Guards memory and the class of a call against answers that are longer than the file allows: the call has run, so it
-/// goes out again only where its class allows it.
+/// An answer longer than the configured limit is discarded. The call has run, so it is repeated only if its class allows
+/// it.
 #[test]
-fn an_answer_longer_than_is_allowed_has_run_all_the_same() {
+fn a_call_with_an_answer_over_the_limit_is_repeated_only_as_the_class_allows() {
     for function in ["check", "once"] {
         let (end, sent) =
             in_all_styles(&[Behaviour::LongAnswer, Behaviour::Serve], [0, 1], one_call(function));
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn a_refusal_or_a_miss_proves_that_nothing_ran_so_any_class_goes_on() {
+fn a_refusal_or_a_miss_proves_that_nothing_ran_so_any_class_is_retried() {
     for act in [Behaviour::Refuse, Behaviour::Miss] {
         for function in ["check", "post", "once"] {
             let (end, sent) = in_all_styles(&[act, Behaviour::Serve], [0, 1], one_call(function));
@@ -220,27 +220,27 @@
     assert_eq!((end.status, end.may_have_run.as_deref(), sent.len()), (503, Some("false"), 5));
 }
 
-/// Guards the class of a call: what may have run goes out again only where the class allows it.
+/// A call that may have run is repeated only if its class allows it.
 #[test]
 fn a_late_reset_is_repeated_only_as_the_class_allows() {
     let (end, sent) = in_all_styles(&[Behaviour::Reset, Behaviour::Serve], [0, 1], one_call("check"));
     assert_eq!((end.status, sent.len()), (200, 2));
     let (end, sent) = in_all_styles(&[Behaviour::Reset, Behaviour::Serve], [0, 1], one_call("post"));
-    assert!(sent.iter().all(|worker| *worker == sent[0]), "a repeat left its rack: {sent:?}");
+    assert!(sent.iter().all(|worker| *worker == sent[0]), "a repeat was sent to another cell: {sent:?}");
     assert_eq!((end.status, sent.len()), (200, 2));
     let (end, sent) = in_all_styles(&[Behaviour::Reset, Behaviour::Serve], [0, 1], one_call("once"));
     assert_eq!((end.status, end.may_have_run.as_deref(), sent.len()), (502, Some("true"), 1));
 }
 
-/// Guards what is made of a spoilt answer: nothing of it is passed on, it never stands for proof that the
-/// call did not run, and neither a length nor a half holds the call until its deadline.
+/// An invalid answer is not passed on and is no proof that the call did not run. Neither an excessive length nor a truncated
+/// answer delays the call until its deadline.
 #[test]
-fn a_spoilt_answer_is_no_answer_and_the_call_may_have_run() {
+fn an_invalid_answer_is_discarded_and_the_call_may_have_run() {
     for act in [Behaviour::CorruptAnswer, Behaviour::TruncatedAnswer, Behaviour::OversizedAnswer] {
         let (end, sent) = in_all_styles(&[act, Behaviour::Serve], [0, 1], one_call("check"));
         assert_eq!((end.status, end.body.as_str(), sent.len()), (200, "done: input", 2), "{act:?}");
         let (end, sent) = in_all_styles(&[act, Behaviour::Serve], [0, 1], one_call("post"));
-        assert!(sent.iter().all(|worker| *worker == sent[0]), "a repeat left its rack: {sent:?}");
+        assert!(sent.iter().all(|worker| *worker == sent[0]), "a repeat was sent to another cell: {sent:?}");
         assert_eq!((end.status, sent.len()), (200, 2), "{act:?}");
         let (end, sent) = in_all_styles(&[act, Behaviour::Serve], [0, 1], one_call("once"));
         assert_eq!((end.status, end.may_have_run.as_deref(), sent.len()), (502, Some("true"), 1), "{act:?}");
@@ -254,10 +254,10 @@
 }
 
 #[test]
-fn an_early_reset_never_ran_so_even_unsafe_calls_go_on() {
+fn a_failed_connection_proves_that_nothing_ran_so_any_class_is_retried() {
     for function in ["check", "post", "once"] {
         let (end, sent) = in_all_styles(&[Behaviour::Serve], [0, 1], |fixture| {
-            // Nobody listens on port 1: the connection is reset before a byte of the call is out.
+            // Nothing listens on port 1: the connection fails before any byte of the call is sent.
             for (name, address) in [("w1", "127.0.0.1:1"), ("w2", &fixture.addresses[1])] {
                 let body = format!("{{\"address\":\"{address}\",\"cell\":0}}");
                 let put =
@@ -270,9 +270,9 @@
     }
 }
 
-/// Guards what a client is told: a call that is still out at its deadline may have run.
+/// A call that is still in flight at its deadline is reported as one that may have run.
 #[test]
-fn silence_ends_at_the_deadline() {
+fn a_call_without_an_answer_ends_at_its_deadline() {
     for function in ["check", "post", "once"] {
         let (end, sent) = in_all_styles(&[Behaviour::NoAnswer], [0, 1], |fixture| {
             let end = fixture.call(function, 1000);
@@ -309,7 +309,7 @@
     assert_eq!((sends, runs), (1, 1));
 }
 
-/// Guards the hard case of the deferred style: nobody is there, and one final answer is still due.
+/// A deferred call reaches one final answer although its client has disconnected.
 #[test]
 fn a_deferred_post_whose_client_vanishes_reaches_one_final_answer() {
     for server in [Server::Held, Server::Deferred, Server::Frames] {
@@ -317,10 +317,10 @@
         let headers = [("Prefer", "respond-async"), ("Idempotency-Key", "gone")];
         let socket =
             start(fixture.daemon.address, "POST", "/v1/functions/post/invocations", &headers, b"input");
-        until("the call is out", || fixture.fleet.sent().len() == 1);
+        until("the call is in flight", || fixture.fleet.sent().len() == 1);
         drop(socket);
         fixture.fleet.release();
-        // The client's successor comes with the same key and finds the one answer.
+        // Another client that uses the same key gets that answer.
         let end = fixture.call_with("post", 8000, "gone");
         assert_eq!((end.status, end.body.as_str()), (200, "done: input"), "{server:?}");
         assert_eq!((fixture.fleet.sent().len(), fixture.fleet.runs()), (1, 1), "{server:?}");
@@ -328,13 +328,13 @@
 }
 
 #[test]
-fn a_synchronous_call_whose_client_vanishes_is_called_off() {
+fn a_synchronous_call_whose_client_vanishes_is_cancelled() {
     for server in [Server::Deferred, Server::Frames] {
         let fixture = Fixture::new((Client::Synchronous, server), &[Behaviour::NoAnswer], [0, 1]);
         let socket = start(fixture.daemon.address, "POST", "/v1/functions/check/invocations", &[], b"input");
-        until("the call is out", || fixture.fleet.sent().len() == 1);
+        until("the call is in flight", || fixture.fleet.sent().len() == 1);
         drop(socket);
-        until("it is called off", || fixture.fleet.cancelled() == 1);
+        until("the work is cancelled", || fixture.fleet.cancelled() == 1);
     }
 }
 
@@ -344,24 +344,24 @@
     let headers = [("Prefer", "respond-async"), ("Idempotency-Key", "k")];
     let accepted = ask(fixture.daemon.address, "POST", "/v1/functions/post/invocations", &headers, b"input");
     let location = accepted.header("location").expect("location").to_string();
-    until("the call is out", || fixture.fleet.sent().len() == 1);
+    until("the call is in flight", || fixture.fleet.sent().len() == 1);
     assert_eq!(ask(fixture.daemon.address, "GET", &location, &[], b"").status, 202);
     assert_eq!(ask(fixture.daemon.address, "DELETE", &location, &[], b"").status, 204);
     assert_eq!(ask(fixture.daemon.address, "GET", &location, &[], b"").status, 410);
     assert_eq!(ask(fixture.daemon.address, "DELETE", &location, &[], b"").status, 204);
-    until("it is called off", || fixture.fleet.cancelled() == 1);
+    until("the work is cancelled", || fixture.fleet.cancelled() == 1);
 }
 
-/// Guards calls that meet a full account: they are turned away before anything is sent, in every style alike,
-/// and leave nothing behind that would keep the next try with their key from being the first.
+/// Calls are turned away before anything is sent if their memory account is full, and their key stays unused, so that the
+/// next call with it is executed.
 #[test]
-fn where_there_is_no_room_nothing_is_sent_and_the_key_stays_free() {
+fn a_call_without_memory_is_not_sent_and_its_key_stays_unused() {
     let (refused, served, sent) = in_all_styles(&[Behaviour::Hold], [0, 1], |fixture| {
         let path = fixture.folder.0.join("invoke.toml");
         let file = std::fs::read_to_string(&path).expect("written before");
         fixture.folder.write("invoke.toml", &format!("{file}[memory]\nshares = {{ calls = 0.6 }}\n"));
         fixture.daemon.signal("HUP");
-        until("it is reloaded", || fixture.daemon.errors().contains("reloaded"));
+        until("the configuration is reloaded", || fixture.daemon.errors().contains("reloaded"));
         let path = "/v1/functions/check/invocations";
         let open: Vec<_> = (0..40).map(|_| start(fixture.daemon.address, "POST", path, &[], b"x")).collect();
         let status = || ask(fixture.daemon.address, "GET", "/v1/status", &[], b"").json();
@@ -371,7 +371,7 @@
             || fixture.fleet.sent().iter().filter(|sent| sent.key.as_deref() == Some("late")).count();
         assert_eq!(sent_late(), 0);
         fixture.fleet.release();
-        until("all has ended", || status()["owed"] == 0);
+        until("all calls have ended", || status()["owed"] == 0);
         drop(open);
         let served = fixture.call_with("post", 8000, "late");
         (refused, served, sent_late())
@@ -380,16 +380,16 @@
     assert_eq!((served.status, served.body.as_str(), sent), (200, "done: input", 1));
 }
 
-/// Guards the boundaries of an answer: wherever it breaks off, the call may have run.
+/// Wherever in the answer the connection ends, the call may have run.
 #[test]
-fn an_answer_that_breaks_off_is_no_proof_that_nothing_ran() {
-    for within in AnswerOffset::ALL {
-        let act = Behaviour::DisconnectAt(within);
+fn an_incomplete_answer_is_no_proof_that_nothing_ran() {
+    for offset in AnswerOffset::ALL {
+        let act = Behaviour::DisconnectAt(offset);
         let (end, sent) = in_all_styles(&[act, Behaviour::Serve], [0, 1], one_call("check"));
-        assert_eq!((end.status, end.body.as_str(), sent.len()), (200, "done: input", 2), "{within:?}");
+        assert_eq!((end.status, end.body.as_str(), sent.len()), (200, "done: input", 2), "{offset:?}");
         let (end, sent) = in_all_styles(&[act, Behaviour::Serve], [0, 1], one_call("once"));
-        let told = (end.status, end.may_have_run.as_deref(), sent.len());
-        assert_eq!(told, (502, Some("true"), 1), "{within:?}");
+        let result = (end.status, end.may_have_run.as_deref(), sent.len());
+        assert_eq!(result, (502, Some("true"), 1), "{offset:?}");
     }
 }
 
@@ -399,11 +399,11 @@
     assert_eq!((end.status, end.body.as_str(), sent.len()), (200, "done: input", 1));
 }
 
-/// Guards a key whose call may have run and was then refused by all: where any worker drops repeats the decisions refuse
-/// it, since another try is harmless; but only until the workers have forgotten the key, and the client may come later.
-/// Its key used to be free at once.
+/// A call may have run and then be refused by all workers. If all workers deduplicate, the dispatcher reports it as refused,
+/// since a retry is harmless; but that holds only until the workers have forgotten the key, and the client may retry later.
+/// The key used to be released at once.
 #[test]
-fn a_key_that_may_have_run_stays_taken_however_its_call_ended() {
+fn a_key_whose_call_may_have_run_stays_in_use_however_the_call_ended() {
     let script = [Behaviour::Reset, Behaviour::Refuse];
     let (first, again, sent) = in_all_styles(&script, [0, 0], |fixture| {
         let path = fixture.folder.0.join("invoke.toml");
@@ -418,9 +418,9 @@
     assert_eq!(again, first, "not sent again");
 }
 
-/// Guards the window of a key at the front: within it the repeat is answered, behind it it is a call of its own.
+/// Within the deduplication window the front answers a repeated key; after it the key starts a new call.
 #[test]
-fn a_key_comes_again_just_before_and_just_after_its_window() {
+fn a_key_is_repeated_just_before_and_just_after_its_window() {
     let (before, after, sends) = in_all_styles(&[Behaviour::Serve], [0, 0], |fixture| {
         let path = fixture.folder.0.join("invoke.toml");
         let file = std::fs::read_to_string(&path).expect("written before").replace("data\"", "other\"");
@@ -430,7 +430,7 @@
         let first = call();
         let sent = Instant::now();
         assert_eq!(first.status, 200);
-        // A call's time and its window after it was taken the key is free again.
+        // The key is released once the call's deadline plus the window have passed since the call was accepted.
         std::thread::sleep(Duration::from_millis(1800).saturating_sub(sent.elapsed()));
         let before = (call(), fixture.fleet.sent().len());
         std::thread::sleep(Duration::from_millis(2600).saturating_sub(sent.elapsed()));
@@ -441,27 +441,27 @@
     assert_eq!(sends, [1, 2]);
 }
 
-/// For what must not happen: long enough for it to have happened.
-const LONG_ENOUGH: Duration = Duration::from_millis(500);
+/// Time to wait before asserting that something has not happened.
+const OBSERVATION_TIME: Duration = Duration::from_millis(500);
 
-/// Guards what a client that has left still costs: nothing is sent on for it; a deferred call goes on without it.
+/// Nothing is sent for a synchronous call whose client has left; a deferred call continues.
 #[test]
-fn who_left_while_no_worker_took_work_is_not_sent_on() {
+fn a_call_whose_client_left_while_no_worker_took_work_is_not_sent() {
     for style in STYLES {
         let fixture = Fixture::new(style, &[Behaviour::Serve], [0, 0]);
         fixture.set_both("draining");
         let client = fixture.start("check");
-        until("it is taken", || fixture.counted("taken") == 1);
+        until("the request is accepted", || fixture.counted("taken") == 1);
         fixture.leave(client);
         fixture.set_both("up");
         assert_eq!(fixture.call("check", 8000).status, 200, "{style:?}");
-        std::thread::sleep(LONG_ENOUGH);
-        assert_eq!(fixture.fleet.sent().len(), 1 + fixture.goes_on(), "{style:?}");
+        std::thread::sleep(OBSERVATION_TIME);
+        assert_eq!(fixture.fleet.sent().len(), 1 + fixture.continuing_calls(), "{style:?}");
     }
 }
 
 #[test]
-fn who_left_while_a_connection_came_up_is_not_sent_on() {
+fn a_call_whose_client_left_during_connect_is_not_sent() {
     for style in STYLES {
         let fixture = Fixture::with_limits(
             style,
@@ -474,20 +474,20 @@
         fixture.set_worker("w1", &late.address.to_string(), "up");
         fixture.set_worker("w2", &fixture.addresses[1], "draining");
         let client = fixture.start("check");
-        until("it waits for its connection", || fixture.counted("sent") == 1);
+        until("the request waits for its connection", || fixture.counted("sent") == 1);
         fixture.leave(client);
-        late.accept(TEST_TIMEOUT).expect("what filled the queue");
-        let came = late.accept(TEST_TIMEOUT).map(|mut connection| {
-            connection.set_read_timeout(Some(LONG_ENOUGH)).expect("set");
+        late.accept(TEST_TIMEOUT).expect("the connection that filled the accept queue");
+        let received = late.accept(TEST_TIMEOUT).map(|mut connection| {
+            connection.set_read_timeout(Some(OBSERVATION_TIME)).expect("set");
             connection.read(&mut [0; 64]).unwrap_or(0)
         });
-        assert_eq!(came.unwrap_or(0) > 0, fixture.goes_on() > 0, "{style:?}");
+        assert_eq!(received.unwrap_or(0) > 0, fixture.continuing_calls() > 0, "{style:?}");
     }
 }
 
-/// The first attempt breaks while no worker takes work, so that the second has to wait for one.
+/// The first attempt fails while no worker accepts work, so that the second has to wait for one.
 #[test]
-fn who_left_before_the_second_attempt_is_not_sent_on() {
+fn a_call_whose_client_left_before_the_second_attempt_is_not_sent_again() {
     for style in STYLES {
         let fixture = Fixture::new(style, &[Behaviour::Serve], [0, 0]);
         let first = SlowAcceptListener::new();
@@ -498,40 +498,40 @@
         assert!(connection.read(&mut [0; 64]).is_ok_and(|size| size > 0));
         fixture.set_worker("w1", &first.address.to_string(), "draining");
         drop(connection);
-        until("it broke", || fixture.counted("lost_reset") == 1);
+        until("the attempt has failed", || fixture.counted("lost_reset") == 1);
         fixture.leave(client);
         fixture.set_worker("w2", &fixture.addresses[1], "up");
         assert_eq!(fixture.call("check", 8000).status, 200, "{style:?}");
-        std::thread::sleep(LONG_ENOUGH);
-        assert_eq!(fixture.fleet.sent().len(), 1 + fixture.goes_on(), "{style:?}");
+        std::thread::sleep(OBSERVATION_TIME);
+        assert_eq!(fixture.fleet.sent().len(), 1 + fixture.continuing_calls(), "{style:?}");
     }
 }
 
-/// Guards a client that sends its next request before it has the answer to the first, and then leaves: with the next
-/// one read, nobody saw it leave, and the first went on and was sent out.
+/// A client may send its next request before it has the answer to the first, and then disconnect. Once the daemon had read
+/// the second request it did not notice the disconnect, and sent the first one.
 #[test]
-fn who_left_behind_a_second_request_is_not_sent_on() {
+fn a_call_whose_client_left_after_a_second_request_is_not_sent() {
     let next = "POST /v1/functions/check/invocations HTTP/1.1\r\nHost: test\r\nContent-Length: 1\r\n\r\nx";
-    // More than is read ahead.
+    // More than the daemon reads ahead.
     let many = next.replace("1\r\n\r\nx", "12000\r\n\r\n") + &"x".repeat(12_000);
     let many = next.to_string() + &many;
-    let ways = [
+    let cases = [
         (Server::Held, next),
         (Server::Deferred, next),
         (Server::Frames, "\0\r\n\r\n"),
         (Server::Frames, many.as_str()),
     ];
-    for (server, second) in ways {
+    for (server, second) in cases {
         let fixture = Fixture::new((Client::Synchronous, server), &[Behaviour::Serve], [0, 0]);
         fixture.set_both("draining");
         let mut client = fixture.start("check");
-        until("it is taken", || fixture.counted("taken") == 1);
+        until("the request is accepted", || fixture.counted("taken") == 1);
         client.write_all(second.as_bytes()).expect("written");
         std::thread::sleep(Duration::from_millis(100));
         fixture.leave(client);
         fixture.set_both("up");
         assert_eq!(fixture.call("check", 8000).status, 200, "{server:?}");
-        std::thread::sleep(LONG_ENOUGH);
+        std::thread::sleep(OBSERVATION_TIME);
         assert_eq!((fixture.fleet.sent().len(), fixture.counted("taken")), (1, 2), "{server:?}");
     }
 }
--- a/crates/node/tests/terms.rs
+++ b/crates/node/tests/terms.rs
@@ -1,4 +1,4 @@
-//! What the operators were promised, one test for each term, over sockets and with the started program.
+//! The guarantees given to the operators: one test per guarantee, with a running daemon and real sockets.
 mod support;
 
 use serde_json::json;
@@ -11,12 +11,12 @@
 use support::workers::Behaviour;
 use support::{ask, free_address, receive, until, Daemon, TEST_TIMEOUT};
 
-/// No attempt begins later than that after its client has gone.
-const GONE: Duration = Duration::from_millis(100);
-/// For what must not happen: long enough for it to have happened.
-const LONG_ENOUGH: Duration = Duration::from_millis(500);
+/// No attempt starts later than this after its client has left.
+const LAST_ATTEMPT_AFTER_DEPARTURE: Duration = Duration::from_millis(100);
+/// Time to wait before asserting that something has not happened.
+const OBSERVATION_TIME: Duration = Duration::from_millis(500);
 
-/// Ways of leaving, in groups that leave a place for a client that stays: a new worker is given four requests at a time.
+/// Departures, in groups small enough to leave room for a client that stays: a new worker is given four requests at a time.
 const GROUPS: [(Front, &[Departure]); 5] = [
     (Front::Platform, &[Departure::Cancels, Departure::Closes, Departure::Resets]),
     (Front::Platform, &[Departure::HalfCloses, Departure::ClosesAfterSecond]),
@@ -25,30 +25,30 @@
     (Front::Http, &[Departure::ClosesAfterSecond, Departure::ClosesAfterPartialRequest]),
 ];
 
-/// Lets them leave, and the time go by in which an attempt may still begin.
+/// Makes the clients leave and waits for the time in which an attempt may still start.
 fn leave(leavers: Vec<DepartingClient>) -> Vec<Option<TcpStream>> {
     let left = leavers.into_iter().map(DepartingClient::leave).collect();
-    std::thread::sleep(GONE);
+    std::thread::sleep(LAST_ATTEMPT_AFTER_DEPARTURE);
     left
 }
 
-/// Requests that reach a worker at the same time: a second one on an HTTP connection waits for the first.
+/// Number of requests in flight at the same time: on an HTTP connection a second request waits for the first.
 fn open(front: Front, ways: &[Departure]) -> u64 {
     let two = |way: &&Departure| matches!(way, Departure::CancelsBeforeSecond | Departure::ClosesAfterSecond);
     let second = if front == Front::Platform { ways.iter().filter(two).count() } else { 0 };
     (ways.len() + second) as u64
 }
 
-/// Sees the one that stays served, and nothing sent for those that have left.
+/// Checks that the client that stays is served and that nothing is sent for those that have left.
 fn assert_only_stayers_are_sent_on(site: &Site, stayer: TcpStream, case: &str) {
     site.assert_served(stayer);
-    std::thread::sleep(LONG_ENOUGH);
+    std::thread::sleep(OBSERVATION_TIME);
     let sent = site.fleet.sent();
     assert!(sent.iter().all(|sent| sent.body.starts_with(b"stayer")), "{case}: {sent:?}");
 }
 
 #[test]
-fn who_has_gone_while_no_worker_took_work_is_not_sent_on() {
+fn requests_of_clients_that_left_while_no_worker_took_work_are_not_sent() {
     for (front, ways) in GROUPS {
         let mut site = Site::new(front);
         let worker = site.fleet.frames("h1");
@@ -62,9 +62,9 @@
     }
 }
 
-/// Guards the same where the program had no turn meanwhile: it finds the leaving and the worker's news together.
+/// The same while the daemon is stopped: it finds the departures and the worker update at the same time.
 #[test]
-fn who_has_gone_while_the_program_stood_still_is_not_sent_on() {
+fn requests_of_clients_that_left_while_the_daemon_was_stopped_are_not_sent() {
     for (front, ways) in GROUPS.into_iter().filter(|group| group.0 == Front::Platform) {
         let mut site = Site::new(front);
         let worker = site.fleet.frames("h1");
@@ -75,27 +75,27 @@
         site.signal("STOP");
         let _open = leave(leavers);
         site.set_worker("h1", worker, "up");
-        std::thread::sleep(GONE);
+        std::thread::sleep(LAST_ATTEMPT_AFTER_DEPARTURE);
         site.signal("CONT");
         assert_only_stayers_are_sent_on(&site, stayer, &format!("{front:?} {ways:?}"));
     }
 }
 
-/// All requests out at one worker; the site, that worker, those who will leave and one who will stay.
-fn all_out(front: Front, ways: &[Departure]) -> (Site, HoldingWorker, Vec<DepartingClient>, TcpStream) {
+/// Puts all requests in flight at one worker. Returns the site, that worker, the clients that will leave and one that stays.
+fn all_in_flight(front: Front, ways: &[Departure]) -> (Site, HoldingWorker, Vec<DepartingClient>, TcpStream) {
     let (mut site, holding) = (Site::new(front), HoldingWorker::new());
     site.set_worker("h0", holding.address, "up");
     let leavers: Vec<DepartingClient> =
         ways.iter().map(|way| site.send_and_prepare_departure(*way)).collect();
     let stayer = site.ask("stayer");
     let count = open(front, ways) as usize + 1;
-    until("all are out", || holding.bodies().len() == count);
+    until("all requests are in flight", || holding.bodies().len() == count);
     (site, holding, leavers, stayer)
 }
 
-fn fails_once_its_client_has_gone(failing: FailureMode) {
+fn assert_no_attempt_follows_a_failure_after_departure(failing: FailureMode) {
     for (front, ways) in GROUPS {
-        let (mut site, holding, leavers, stayer) = all_out(front, ways);
+        let (mut site, holding, leavers, stayer) = all_in_flight(front, ways);
         let next = site.fleet.frames("h1");
         site.set_worker("h0", holding.address, "draining");
         site.set_worker("h1", next, "up");
@@ -108,48 +108,49 @@
 }
 
 #[test]
-fn an_attempt_that_breaks_once_its_client_has_gone_is_the_last() {
-    fails_once_its_client_has_gone(FailureMode::Disconnect);
+fn an_attempt_whose_connection_fails_after_its_client_left_is_the_last() {
+    assert_no_attempt_follows_a_failure_after_departure(FailureMode::Disconnect);
 }
 
 #[test]
-fn an_attempt_that_finds_no_room_once_its_client_has_gone_is_the_last() {
-    fails_once_its_client_has_gone(FailureMode::Full);
+fn an_attempt_that_is_refused_after_its_client_left_is_the_last() {
+    assert_no_attempt_follows_a_failure_after_departure(FailureMode::Full);
 }
 
 #[test]
-fn an_attempt_that_errs_once_its_client_has_gone_is_the_last() {
-    fails_once_its_client_has_gone(FailureMode::Error);
+fn an_attempt_that_fails_after_its_client_left_is_the_last() {
+    assert_no_attempt_follows_a_failure_after_departure(FailureMode::Error);
 }
 
-/// The first attempt has failed and the next waits for a worker.
+/// The clients leave while the first attempt has failed and the next one waits for a worker.
 #[test]
-fn who_has_gone_between_two_attempts_is_not_sent_on() {
+fn requests_of_clients_that_left_between_two_attempts_are_not_sent_again() {
     for (front, ways) in GROUPS {
-        let (mut site, holding, leavers, stayer) = all_out(front, ways);
+        let (mut site, holding, leavers, stayer) = all_in_flight(front, ways);
         let next = site.fleet.frames("h1");
         site.set_worker("h0", holding.address, "draining");
-        std::thread::sleep(LONG_ENOUGH / 2);
+        std::thread::sleep(OBSERVATION_TIME / 2);
         holding.fail(FailureMode::Full);
         site.until_counted("lost_full", open(front, ways) + 1);
         let left_at = Instant::now();
         let _open = leave(leavers);
-        assert!(left_at.elapsed() >= GONE);
+        assert!(left_at.elapsed() >= LAST_ATTEMPT_AFTER_DEPARTURE);
         site.set_worker("h1", next, "up");
         assert_only_stayers_are_sent_on(&site, stayer, &format!("{front:?} {ways:?}"));
     }
 }
 
-/// Processes that are killed at once, and workers in their list.
+/// Processes that are killed at once.
 const KILLED: usize = 20;
+/// Workers in the list of each process.
 const LISTED: usize = 30;
 const READY_WITHIN: Duration = Duration::from_secs(10);
 
-/// A client that comes again whenever it is refused or its connection ends; when it was first served.
+/// Runs a client that retries whenever it is refused or its connection ends; returns when it was first served.
 fn first_served(address: SocketAddr, number: u64) -> Instant {
     let start = Instant::now();
     for attempt in 1..=u64::MAX {
-        assert!(start.elapsed() < TEST_TIMEOUT, "never served again");
+        assert!(start.elapsed() < TEST_TIMEOUT, "not served again");
         if let Some(mut client) = Client::connect(address) {
             let sent = client.socket.write_all(&check(1, number << 32 | attempt)).is_ok();
             if sent && matches!(client.receive(), Some((1, Reply::Answer(_)))) {
@@ -161,8 +162,8 @@
     unreachable!("the clock runs")
 }
 
-/// Guards the time in which processes that died together serve again, each under the load of clients that come again
-/// all the while, with a long list of workers.
+/// Processes that were killed together must serve again within [`READY_WITHIN`] of their restart, with a long list of
+/// workers and under the load of clients that keep reconnecting.
 #[test]
 fn processes_that_were_killed_at_once_serve_again_in_time() {
     const CLIENTS: usize = 3;
@@ -183,12 +184,14 @@
         daemon.child.kill().expect("own child");
     }
     daemons.clear();
-    let (told, served) = std::sync::mpsc::channel();
+    let (sender, served) = std::sync::mpsc::channel();
     for client in 0..KILLED * CLIENTS {
-        let (told, address) = (told.clone(), places[client % KILLED].1);
-        std::thread::spawn(move || told.send((client % KILLED, first_served(address, 100 + client as u64))));
+        let (sender, address) = (sender.clone(), places[client % KILLED].1);
+        std::thread::spawn(move || {
+            sender.send((client % KILLED, first_served(address, 100 + client as u64)))
+        });
     }
-    std::thread::sleep(LONG_ENOUGH);
+    std::thread::sleep(OBSERVATION_TIME);
     let restarted = Instant::now();
     let _daemons: Vec<Daemon> = places.iter().map(start).collect();
     let mut ready = vec![Duration::MAX; KILLED];
@@ -201,14 +204,14 @@
     assert!(ready[KILLED - 1] < READY_WITHIN, "{ready:?}");
 }
 
-/// Guards a reload that the operators' drain follows at once: the new channel's worker serves what is owed.
+/// A reload that is followed at once by the operators' drain is applied: a worker of the new channel serves the open request.
 #[test]
-fn a_reload_is_heeded_though_the_operators_drain_at_once() {
+fn a_reload_followed_by_a_drain_is_applied() {
     let fixture = Fixture::new(&[Behaviour::Serve], 0);
     let worker = fixture.fleet.frames("h0");
     let mut client = fixture.client();
     client.send(&check(1, 0xa1));
-    until("it is taken", || {
+    until("the request is accepted", || {
         fixture.daemon.signal("USR1");
         fixture.daemon.errors().contains("taken=1 ")
     });
@@ -220,18 +223,18 @@
     assert_eq!(ask(fixture.admin, "PUT", "/v1/invoker/drain", &[], b"").status, 200);
     next.tell(2, "h0", worker, "up");
     assert!(matches!(client.receive(), Some((1, Reply::Answer(_)))), "{}", fixture.daemon.errors());
-    assert_eq!(client.receive(), None, "drained: it is let go once nothing is owed");
+    assert_eq!(client.receive(), None, "drained: the connection is closed once no request is open");
 }
 
-/// Guards the list against a channel that takes a call and says nothing, behind one that fell silent, and against a whole
-/// list that comes again: who is listed still keeps its open requests, and who is not gets no more.
+/// The daemon reconnects after a channel that falls silent and one that accepts the connection and sends nothing, and then
+/// applies a snapshot: workers in it keep their open requests, and workers that are missing get no more.
 #[test]
-fn a_whole_list_behind_a_channel_that_says_nothing_is_heard() {
+fn a_snapshot_after_a_channel_that_sends_nothing_is_applied() {
     let fixture = Fixture::new(&[Behaviour::Hold, Behaviour::Serve], 2);
     let mut client = fixture.client();
-    // A call of a keyed class is not called off for its silence.
+    // A call of a keyed class is not cancelled for lack of an answer.
     client.send(&dispatch(1, &fields("post", "00000000000000a1", "6000"), b"x"));
-    until("it is out", || !fixture.fleet.sent().is_empty());
+    until("the request is in flight", || !fixture.fleet.sent().is_empty());
     let holder = fixture.fleet.sent()[0].worker.clone();
     let number = usize::from(holder == "h1");
     let channel = SlowAcceptListener::new();
@@ -240,16 +243,16 @@
     fixture.folder.write("config.json", &config.to_string());
     fixture.daemon.signal("HUP");
     let head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n:\n\n";
-    let mut first = channel.accept(TEST_TIMEOUT).expect("the first call");
+    let mut first = channel.accept(TEST_TIMEOUT).expect("the first connection");
     first.write_all(head.as_bytes()).expect("written");
     let fell_silent = Instant::now();
-    let _mute = channel.accept(TEST_TIMEOUT).expect("called again");
-    let mut third = channel.accept(TEST_TIMEOUT).expect("and again");
-    println!("the third call came {:?} after the first fell silent", fell_silent.elapsed());
+    let _mute = channel.accept(TEST_TIMEOUT).expect("the second connection");
+    let mut third = channel.accept(TEST_TIMEOUT).expect("the third connection");
+    println!("the third connection came {:?} after the first fell silent", fell_silent.elapsed());
     let whole = nodes(2, true, &[(&holder, fixture.hosts[number], "up")]);
     third.write_all(format!("{head}id: 2\ndata: {whole}\n\n").as_bytes()).expect("written");
-    // Comments, so that this one doesn't fall silent.
-    std::thread::sleep(LONG_ENOUGH);
+    // A comment line keeps this connection from counting as silent.
+    std::thread::sleep(OBSERVATION_TIME);
     third.write_all(b":\n\n").expect("written");
     fixture.fleet.release();
     assert!(matches!(client.receive(), Some((1, Reply::Answer(_)))));
@@ -261,8 +264,8 @@
     assert!(sent.iter().all(|sent| sent.worker == holder), "{sent:?}");
 }
 
-/// Guards the address of a process that is killed while callers stand in its queue and others were just let in: a new
-/// process serves there.
+/// A process is killed while some connections are in its accept queue and others were just accepted: a new process can
+/// serve at its address.
 #[test]
 fn a_process_that_is_killed_right_after_an_accept_leaves_its_address_to_the_next() {
     let mut fixture = Fixture::new(&[Behaviour::Serve], 1);
@@ -284,7 +287,7 @@
     first_served(address, 0xb);
 }
 
-/// Sends bytes in two parts, the second one once the first has surely been read apart.
+/// Sends bytes in two parts, with a pause so that the first is read separately.
 fn send_in_two(socket: &mut TcpStream, bytes: &[u8], at: usize) {
     socket.set_nodelay(true).expect("set");
     socket.write_all(&bytes[..at]).expect("written");
@@ -337,12 +340,12 @@
     }
 }
 
-/// What a worker may be told to have left beyond what its client has.
+/// Tolerance by which the time passed to a worker may exceed what its client has left.
 const DEADLINE_SLACK: Duration = Duration::from_millis(150);
 
-/// Guards the deadline that is passed on: it is what is left when the request goes out, not when it was decided on.
+/// The deadline sent to a worker is the time that is left when the request is sent, not when the worker was chosen.
 #[test]
-fn a_worker_is_told_no_more_time_than_the_client_has_left() {
+fn the_time_sent_to_a_worker_is_no_more_than_the_client_has_left() {
     let worker = SlowAcceptListener::new();
     let fixture = Fixture::with_settings(&[Behaviour::Serve], 0, 1024, 192, |settings| {
         settings["ceilings"]["connectTimeoutMs"] = json!(3000.0);
@@ -353,34 +356,34 @@
     let allowed = Duration::from_millis(3500);
     let asked = Instant::now();
     client.send(&dispatch(1, &fields("check", "00000000000000a1", "3500"), b"x"));
-    std::thread::sleep(LONG_ENOUGH);
-    worker.accept(TEST_TIMEOUT).expect("what filled the queue");
-    let late = worker.accept(TEST_TIMEOUT).expect("it comes up, a second late");
-    let frames = request_frames(&late, LONG_ENOUGH);
-    let left = allowed.saturating_sub(asked.elapsed() - LONG_ENOUGH);
-    let told = frames.first().and_then(|frame| frame.field("ms")).and_then(|ms| ms.parse().ok());
-    let told = Duration::from_millis(told.expect("a request with its time"));
-    assert!(told <= left + DEADLINE_SLACK, "told {told:?}, left {left:?}");
+    std::thread::sleep(OBSERVATION_TIME);
+    worker.accept(TEST_TIMEOUT).expect("the connection that filled the accept queue");
+    let late = worker.accept(TEST_TIMEOUT).expect("the delayed connection");
+    let frames = request_frames(&late, OBSERVATION_TIME);
+    let left = allowed.saturating_sub(asked.elapsed() - OBSERVATION_TIME);
+    let sent = frames.first().and_then(|frame| frame.field("ms")).and_then(|ms| ms.parse().ok());
+    let sent = Duration::from_millis(sent.expect("a request with its time"));
+    assert!(sent <= left + DEADLINE_SLACK, "sent {sent:?}, left {left:?}");
 }
 
-/// Guards the same where the program stood still while the request lay unread.
+/// The same while the daemon is stopped with the request unread.
 #[test]
-fn a_worker_is_told_no_more_time_than_is_left_behind_a_stopped_process() {
+fn the_time_sent_to_a_worker_excludes_a_pause_of_the_process() {
     let worker = SlowAcceptListener::new();
     let fixture = Fixture::new(&[Behaviour::Serve], 0);
     fixture.channel.tell(2, "h0", worker.address, "up");
     let mut client = fixture.client();
-    // It is let in, and the worker is heard of.
-    std::thread::sleep(LONG_ENOUGH);
+    // Time for the connection to be accepted and the worker update to arrive.
+    std::thread::sleep(OBSERVATION_TIME);
     fixture.daemon.signal("STOP");
     let asked = Instant::now();
     client.send(&dispatch(1, &fields("check", "00000000000000a1", "3000"), b"x"));
-    std::thread::sleep(2 * LONG_ENOUGH);
+    std::thread::sleep(2 * OBSERVATION_TIME);
     fixture.daemon.signal("CONT");
     let connection = worker.accept(TEST_TIMEOUT).expect("the attempt");
-    let frames = request_frames(&connection, LONG_ENOUGH);
-    let left = Duration::from_millis(3000).saturating_sub(asked.elapsed() - LONG_ENOUGH);
-    let told = frames.first().and_then(|frame| frame.field("ms")).and_then(|ms| ms.parse().ok());
-    let told = Duration::from_millis(told.expect("a request with its time"));
-    assert!(told <= left + DEADLINE_SLACK, "told {told:?}, left {left:?}");
+    let frames = request_frames(&connection, OBSERVATION_TIME);
+    let left = Duration::from_millis(3000).saturating_sub(asked.elapsed() - OBSERVATION_TIME);
+    let sent = frames.first().and_then(|frame| frame.field("ms")).and_then(|ms| ms.parse().ok());
+    let sent = Duration::from_millis(sent.expect("a request with its time"));
+    assert!(sent <= left + DEADLINE_SLACK, "sent {sent:?}, left {left:?}");
 }
--- a/crates/node/tests/upgrade.rs
+++ b/crates/node/tests/upgrade.rs
@@ -1,4 +1,4 @@
-//! Two processes of one invoker: a new version is started beside the old one under load, and takes over.
+//! Upgrades: a second process of one invoker is started next to the old one under load and takes over its clients.
 mod support;
 
 use std::collections::BTreeSet;
@@ -11,10 +11,10 @@
 use support::workers::Behaviour;
 use support::{ask, free_address, until, Daemon};
 
-/// The advice of a process that takes no more requests, in milliseconds.
-const DRAINING: &str = "200";
+/// Retry delay in milliseconds that a process advises once it accepts no more requests.
+const DRAINING_RETRY_MS: &str = "200";
 
-/// A second process at the same address, with operators' calls at one of its own.
+/// Starts a second process at the same address, with its own address for the operators' API.
 fn successor(fixture: &Fixture) -> (Daemon, SocketAddr) {
     let admin = free_address();
     let config = fixture.folder.0.join("config.json");
@@ -22,7 +22,7 @@
 }
 
 fn status(admin: SocketAddr, method: &str, path: &str) -> Option<u16> {
-    // Nobody may listen there yet.
+    // The process may not listen yet.
     std::net::TcpStream::connect(admin).ok()?;
     Some(ask(admin, method, path, &[], b"").status)
 }
@@ -35,8 +35,8 @@
     until("the successor is ready", || status(admin, "GET", "/v1/readyz") == Some(200));
 }
 
-/// Guards an upgrade under load: clients that keep a connection as long as they may, and come again when it is closed,
-/// lose no request, are answered once each, and end up with the new process; the old one ends early and with 0.
+/// Upgrade under load: clients that keep their connection until it is closed and then reconnect lose no request, get one
+/// answer each and end up at the new process; the old one exits early with 0.
 #[test]
 fn no_request_is_lost_while_a_successor_takes_over() {
     let mut fixture = Fixture::new(&[Behaviour::Serve], 3);
@@ -51,7 +51,7 @@
                     number += 1;
                     let id = format!("{number:016x}");
                     let request = dispatch(number as i32, &fields("check", &id, "4000"), b"x");
-                    // A request may cross a close once; it is sent again on a new connection.
+                    // A request may be sent while its connection is being closed; it is then sent on a new connection.
                     let mut tries = 0;
                     loop {
                         let client = connection.get_or_insert_with(|| Client::new(address));
@@ -61,16 +61,16 @@
                                 assert_eq!((seqid, body), (number as i32, b"done: x".to_vec()));
                                 break;
                             }
-                            // The decisions may refuse what they like, but nobody is turned away for the upgrade.
+                            // The dispatcher may refuse requests, but not because of the upgrade.
                             Some((_, Reply::Rejected(advice)))
-                                if advice.get("cooldown").is_some_and(|span| span != DRAINING) =>
+                                if advice.get("cooldown").is_some_and(|span| span != DRAINING_RETRY_MS) =>
                             {
                                 break
                             }
                             Some(other) => panic!("{other:?}"),
                             None => {
                                 (connection, tries, crossed) = (None, tries + 1, crossed + 1);
-                                assert!(tries < 2, "a new connection is closed, too");
+                                assert!(tries < 2, "the new connection was closed, too");
                             }
                         }
                     }
@@ -90,18 +90,18 @@
     until("the successor serves", || count.load(Ordering::Relaxed) > served + 200);
     stop.store(true, Ordering::Relaxed);
     let crossed: i32 = clients.into_iter().map(|client| client.join().expect("no request is lost")).sum();
-    println!("{} requests, {crossed} crossed a close", count.load(Ordering::Relaxed));
+    println!("{} requests, {crossed} sent while the connection was closed", count.load(Ordering::Relaxed));
     assert!(crossed <= 8, "each connection is closed once at most: {crossed}");
     next.signal("USR1");
     until("the successor took clients", || next.errors().contains("taken="));
     assert!(!next.errors().contains("taken=0 "), "{}", next.errors());
 }
 
-/// Guards connections that are never idle: the client of one keeps as many requests open as it was answered, before,
-/// while and after a successor takes over. Nothing is refused, the connection stays open, each request has one answer.
-/// Workers keep one request out at any time, so that the connection is not idle either where the client has no turn for long.
+/// Handover of a connection that is never idle: its client sends a new request for each answer before, during and after the
+/// takeover. Nothing is refused because of the upgrade, the connection stays open, and each request has one answer. Workers
+/// keep one request in flight at any time, so that the connection is not idle even if the client is not scheduled for long.
 #[test]
-fn a_connection_that_is_never_idle_passes_to_the_successor() {
+fn a_connection_that_is_never_idle_is_handed_over_to_the_successor() {
     let mut fixture = Fixture::new(&[Behaviour::ServeWithAnotherInFlight], 3);
     let mut client = fixture.client();
     let ask = |client: &mut Client, seqid: i32| {
@@ -119,8 +119,10 @@
         assert!(open.remove(&seqid), "one answer for {seqid}");
         match reply {
             Reply::Answer(body) => assert_eq!(body, format!("done: {seqid}").into_bytes()),
-            // The decisions may refuse what they like, but nobody is turned away for the upgrade.
-            Reply::Rejected(advice) => assert_ne!(advice.get("cooldown").map(String::as_str), Some(DRAINING)),
+            // The dispatcher may refuse requests, but not because of the upgrade.
+            Reply::Rejected(advice) => {
+                assert_ne!(advice.get("cooldown").map(String::as_str), Some(DRAINING_RETRY_MS))
+            }
             other => panic!("{other:?}"),
         }
         next += 1;
@@ -145,10 +147,10 @@
     until("it was taken over", || successor.errors().contains("taken_over=1"));
 }
 
-/// Guards what is owed on a connection that was passed on, where the old process dies before it is answered: the client
-/// is told that it failed, and the connection serves on.
+/// If the old process dies before it has answered the open requests of a handed over connection, the client gets failures
+/// for them, and the connection keeps serving.
 #[test]
-fn what_a_process_that_dies_owed_is_answered_by_its_successor() {
+fn open_requests_of_a_process_that_dies_are_failed_by_its_successor() {
     let mut fixture = Fixture::new(&[Behaviour::Hold], 2);
     let mut client = fixture.client();
     let old = fixture.send_until_dispatched(&mut client, 0xb1, "8000");
@@ -156,7 +158,7 @@
     until_ready(admin);
     fixture.daemon.signal("TERM");
     std::thread::sleep(Duration::from_millis(200));
-    // It is read by the old process, which passes the connection on then.
+    // The old process reads it and then hands the connection over.
     client.send(&dispatch(old + 1, &fields("check", "00000000000000b2", "8000"), b"x"));
     until("it is taken over", || {
         successor.signal("USR1");
@@ -171,8 +173,8 @@
     assert!(matches!(client.receive(), Some((seqid, Reply::Answer(_))) if seqid == old + 2));
 }
 
-/// Resident memory in MB and open descriptors of a process; nothing once it has ended.
-fn held(process: u32) -> (f64, usize) {
+/// Resident memory in MB and open descriptors of a process; 0 once it has ended.
+fn memory_and_descriptors(process: u32) -> (f64, usize) {
     let status = std::fs::read_to_string(format!("/proc/{process}/status")).unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
     let kilobytes = line.and_then(|line| line.split_whitespace().next()?.parse::<f64>().ok());
@@ -180,23 +182,24 @@
     (kilobytes.unwrap_or(0.0) / 1024.0, descriptors)
 }
 
-/// Guards the limit on descriptors, which sees one invoker, at the smallest of the deployment: clients hold a third of
-/// them and read long answers slowly while a successor takes over. What memory both take is told.
+/// Both processes together keep to the descriptor limit of one invoker, at the smallest limit that is deployed: clients use
+/// a third of it and read long answers slowly while a successor takes over. The memory of both is printed.
 #[test]
 fn both_processes_of_an_upgrade_keep_to_the_descriptors_of_one() {
-    most_descriptors_of_an_upgrade(Behaviour::LongAnswer, Duration::ZERO);
+    assert_descriptors_during_upgrade(Behaviour::LongAnswer, Duration::ZERO);
 }
 
-/// Guards the same where all connections have requests open as the old process goes on after a halt, and pass at once.
+/// The same if all connections have open requests when the old process continues after a stop, and are handed over at once.
 #[test]
-fn connections_that_pass_at_once_keep_to_the_descriptors_of_one() {
-    most_descriptors_of_an_upgrade(Behaviour::DelayedServe, Duration::from_millis(400));
+fn simultaneous_handovers_keep_to_the_descriptors_of_one() {
+    assert_descriptors_during_upgrade(Behaviour::DelayedServe, Duration::from_millis(400));
 }
 
-/// Plays an upgrade under load in which the old process stands still for a time after it was told to end.
-fn most_descriptors_of_an_upgrade(act: Behaviour, stand_still: Duration) {
+/// Runs an upgrade under load in which the old process is stopped for `pause` after SIGTERM, and checks the number of
+/// descriptors.
+fn assert_descriptors_during_upgrade(behaviour: Behaviour, pause: Duration) {
     const SOCKETS: usize = 256;
-    let fixture = Fixture::with_limits(&[act], 3, SOCKETS as u32, 32);
+    let fixture = Fixture::with_limits(&[behaviour], 3, SOCKETS as u32, 32);
     let (address, stop) = (fixture.daemon.address, Arc::new(AtomicBool::new(false)));
     let clients: Vec<_> = (0..SOCKETS as u64 / 3)
         .map(|client| {
@@ -219,22 +222,23 @@
         .collect();
     std::thread::sleep(Duration::from_millis(500));
     let (next, admin) = successor(&fixture);
-    // Until it runs its program it holds copies of all descriptors of this process, which are many.
+    // Between fork and exec it holds copies of the many descriptors of this test process.
     until("it listens", || std::net::TcpStream::connect(admin).is_ok());
-    let (mut most, mut told) = ((0.0f64, 0), false);
+    let (mut most, mut sigterm_sent) = ((0.0f64, 0), false);
     until("the old process ends", || {
-        let (old, new) = (held(fixture.daemon.child.id()), held(next.child.id()));
+        let (old, new) =
+            (memory_and_descriptors(fixture.daemon.child.id()), memory_and_descriptors(next.child.id()));
         most = (most.0.max(old.0 + new.0), most.1.max(old.1 + new.1));
-        if !told && status(admin, "GET", "/v1/readyz") == Some(200) {
+        if !sigterm_sent && status(admin, "GET", "/v1/readyz") == Some(200) {
             fixture.daemon.signal("TERM");
-            if !stand_still.is_zero() {
+            if !pause.is_zero() {
                 fixture.daemon.signal("STOP");
-                std::thread::sleep(stand_still);
+                std::thread::sleep(pause);
                 fixture.daemon.signal("CONT");
             }
-            told = true;
+            sigterm_sent = true;
         }
-        told && old.1 == 0
+        sigterm_sent && old.1 == 0
     });
     stop.store(true, Ordering::Relaxed);
     clients.into_iter().for_each(|client| client.join().expect("a client"));
@@ -242,19 +246,19 @@
     assert!(most.1 <= SOCKETS, "{} descriptors", most.1);
 }
 
-/// Guards bans and drains over an upgrade: what one process was told binds the other, whichever it was, and the
-/// successor keeps it once it is alone.
+/// Suspensions and drains during an upgrade: an operation on either process applies to both, and the successor keeps it
+/// after the old process has ended.
 #[test]
-fn what_operators_asked_for_passes_to_the_successor_and_back() {
+fn operators_commands_are_shared_between_both_processes() {
     let mut fixture = Fixture::new(&[Behaviour::Serve], 2);
     assert_eq!(put(fixture.admin, "/v1/hosts/h0/suspend"), 200);
     let (next, admin) = successor(&fixture);
     until_ready(admin);
-    // Told to the successor, while both serve.
+    // Sent to the successor while both serve.
     assert_eq!(put(admin, "/v1/hosts/h0/resume"), 200);
     assert_eq!(put(admin, "/v1/hosts/h1/suspend"), 200);
     std::thread::sleep(Duration::from_millis(300));
-    // Whichever process a connection comes to.
+    // Connections may reach either process.
     for number in 0..12u64 {
         let mut client = fixture.client();
         client.send(&dispatch(1, &fields("check", &format!("{:016x}", 0xd0 + number), "4000"), b"x"));
@@ -263,10 +267,10 @@
     assert!(fixture.fleet.sent().iter().all(|sent| sent.worker == "h0"), "{:?}", fixture.fleet.sent());
     assert_eq!(put(fixture.admin, "/v1/invoker/drain"), 200);
     std::thread::sleep(Duration::from_millis(300));
-    let mut front = fixture.client();
-    front.send(&message(1, "alive", 1, &[2, 0, 1, 1, 0]));
-    front.receive().expect("answered");
-    assert!(!front.good, "whichever process it asked");
+    let mut probe = fixture.client();
+    probe.send(&message(1, "alive", 1, &[2, 0, 1, 1, 0]));
+    probe.receive().expect("answered");
+    assert!(!probe.good, "whichever process it asked");
     fixture.daemon.signal("TERM");
     assert_eq!(fixture.daemon.exit_code(), Some(0));
     assert_eq!(status(admin, "GET", "/v1/readyz"), Some(200), "drained, it could serve");
@@ -278,8 +282,7 @@
     assert!(fixture.fleet.sent()[before..].iter().all(|sent| sent.worker == "h0"));
 }
 
-/// Guards the old process where the new one fails: it goes on as if nothing had been, and its end is one without a
-/// successor.
+/// If the successor dies the old process keeps serving, and its shutdown is one without a successor.
 #[test]
 fn a_successor_that_dies_changes_nothing() {
     let mut fixture = Fixture::new(&[Behaviour::Serve], 1);
@@ -287,7 +290,7 @@
     until_ready(admin);
     next.child.kill().expect("own child");
     next.child.wait().expect("own child");
-    until("it is seen", || fixture.daemon.errors().contains("processes=1"));
+    until("its end is noticed", || fixture.daemon.errors().contains("processes=1"));
     for number in 0..4 {
         let mut client = fixture.client();
         client.send(&dispatch(1, &fields("check", &format!("{:016x}", 0xf0 + number), "4000"), b"x"));
@@ -299,7 +302,7 @@
     late.send(&dispatch(1, &fields("check", "00000000000000fa", "4000"), b"x"));
     assert!(
         matches!(late.receive(), Some((1, Reply::Answer(_)))),
-        "without a successor it still takes clients"
+        "without a successor it still accepts clients"
     );
     assert_eq!(fixture.daemon.exit_code(), Some(0));
 }
