--- a/crates/node/src/wire/workers/tests.rs
+++ b/crates/node/src/wire/workers/tests.rs
@@ -6,10 +6,34 @@
     Limits { streams: 8, connect, idle, connections, answer: 1024, cancels: true }
 }
 
-/// A cancel command counts as sent once it is written, not once it is queued behind frames that the worker does not
-/// read. Otherwise a second attempt could start while the first still runs.
-#[test]
-fn cancel_command_is_sent_once_it_is_written() {
+/// Number of set-ups that are tried for a connection on which the second call follows the first.
+const MAX_SET_UPS: usize = 10;
+/// How long the second call may take to arrive, before it counts as sent on another connection.
+const SECOND_CALL_TIMEOUT: Duration = Duration::from_secs(5);
+const FRAME_HEADER_BYTES: usize = 16;
+const FRAME_CHECKSUM_BYTES: usize = 4;
+
+/// Two calls on one connection: the first is written, and the writer is blocked within the second.
+struct BlockedConnection {
+    _workers: FrameWorkers,
+    _listener: std::net::TcpListener,
+    /// The worker's end of the connection.
+    socket: std::net::TcpStream,
+    first: Box<dyn Exchange>,
+    _second: Box<dyn Exchange>,
+}
+
+/// Reads the header of a frame; returns the frame's id and the number of bytes that follow the header.
+fn read_frame_header(socket: &mut std::net::TcpStream) -> std::io::Result<(u64, usize)> {
+    let mut header = [0; FRAME_HEADER_BYTES];
+    std::io::Read::read_exact(socket, &mut header)?;
+    let [_, _, f0, f1, b0, b1, b2, b3, id @ ..] = header;
+    let (fields, body) = (u16::from_be_bytes([f0, f1]), u32::from_be_bytes([b0, b1, b2, b3]));
+    Ok((u64::from_be_bytes(id), usize::from(fields) + body as usize + FRAME_CHECKSUM_BYTES))
+}
+
+/// Sends two calls; `None` if the second was not sent on the connection of the first.
+fn block_connection() -> Option<BlockedConnection> {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let host = Host::new(WorkerId(1), "w", listener.local_addr().expect("bound"));
     let second = Duration::from_secs(1);
@@ -19,14 +43,31 @@
         let request = corkbay::Request { id: corkbay::RequestId(id), ..Default::default() };
         Arc::new(Call { request, body: vec![7; size], ..Call::default() })
     };
-    let mut first =
-        workers.send(&host, &call(1, 1), monotonic_ms() + 30_000.0, f64::INFINITY, Box::new(|_| ()));
+    let first = workers.send(&host, &call(1, 1), monotonic_ms() + 30_000.0, f64::INFINITY, Box::new(|_| ()));
     let (mut socket, _) = listener.accept().expect("connected");
-    let mut head = [0; 18];
-    std::io::Read::read_exact(&mut socket, &mut head).expect("the first call");
+    let (id, length) = read_frame_header(&mut socket).expect("the first call");
+    assert_eq!(id, 1, "the first call");
+    std::io::Read::read_exact(&mut socket, &mut vec![0; length]).expect("the rest of the first call");
     // More than the socket buffers hold, so the writer blocks in this frame.
-    let _second =
+    let second =
         workers.send(&host, &call(2, 32 << 20), monotonic_ms() + 30_000.0, f64::INFINITY, Box::new(|_| ()));
+    socket.set_read_timeout(Some(SECOND_CALL_TIMEOUT)).expect("a read timeout");
+    if !matches!(read_frame_header(&mut socket), Ok((2, _))) {
+        return None;
+    }
+    socket.set_read_timeout(None).expect("no read timeout");
+    Some(BlockedConnection { _workers: workers, _listener: listener, socket, first, _second: second })
+}
+
+/// A cancel command counts as sent once it is written, not once it is queued behind frames that the worker does not
+/// read. Otherwise a second attempt could start while the first still runs.
+#[test]
+fn cancel_command_is_sent_once_it_is_written() {
+    // On a busy machine the first call may go unanswered for so long that its connection counts as suspect. The second
+    // call is then rightly sent on another connection, and nothing blocks the cancel command.
+    let blocked = (0..MAX_SET_UPS).find_map(|_| block_connection());
+    let BlockedConnection { mut socket, mut first, _workers, _listener, _second } =
+        blocked.unwrap_or_else(|| panic!("the second call went elsewhere in all of {MAX_SET_UPS} set-ups"));
     assert_eq!(first.cancel(AbortReason::Cancelled), Some(AttemptError::Unanswered(AbortReason::Cancelled)));
     std::thread::sleep(Duration::from_millis(100));
     assert!(!first.cancel_notice().is_sent(), "queued behind the second call");
