--- a/crates/node/src/state/log.rs
+++ b/crates/node/src/state/log.rs
@@ -130,7 +130,7 @@
 
     fn wait(&self, job: Job) -> Result<(), LogError> {
         let (done, result) = coroutine_mpsc::channel();
-        let writer_ended = || LogError::Io("the writer thread has ended".into());
+        let writer_ended = || LogError::Io("its thread has ended".into());
         self.jobs.send((job, done)).map_err(|_| writer_ended())?;
         result.recv().map_err(|_| writer_ended())?
     }
@@ -236,15 +236,13 @@
     }
 
     fn add(&mut self, bytes: &[u8]) -> Result<(), LogError> {
-        let new_log =
-            self.new_log.as_mut().ok_or_else(|| LogError::Io("no compaction is in progress".into()))?;
+        let new_log = self.new_log.as_mut().ok_or_else(|| LogError::Io("no new log was begun".into()))?;
         Ok(new_log.write_all(bytes)?)
     }
 
     /// Syncs the new log to disk and then renames it over the current one.
     fn replace(&mut self) -> Result<(), LogError> {
-        let new_log =
-            self.new_log.take().ok_or_else(|| LogError::Io("no compaction is in progress".into()))?;
+        let new_log = self.new_log.take().ok_or_else(|| LogError::Io("no new log was begun".into()))?;
         let mut file = new_log.into_inner().map_err(|error| LogError::Io(error.to_string()))?;
         file.sync_all()?;
         let size = file.stream_position()?;
--- a/crates/node/src/wire/http.rs
+++ b/crates/node/src/wire/http.rs
@@ -21,9 +21,9 @@
 impl fmt::Display for HttpError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            HttpError::Head => "head is not valid HTTP or too long",
-            HttpError::Length => "body length is ambiguous, malformed or in an unsupported coding",
-            HttpError::Chunk => "chunked framing of the body is malformed",
+            HttpError::Head => "head is no HTTP",
+            HttpError::Length => "length of the body is unclear",
+            HttpError::Chunk => "chunked body is broken",
             HttpError::Long => "body is too long",
         })
     }
--- a/crates/node/src/wire/invoke/calls.rs
+++ b/crates/node/src/wire/invoke/calls.rs
@@ -74,7 +74,7 @@
         if self.role.is_ready() {
             problem(404, "unknown-function", &format!("no function {name:?}"), Some(false))
         } else {
-            refused("this node has no complete copy of its configuration yet", Some(NOT_READY_RETRY_AFTER_MS))
+            refused("this node has no whole copy of its configuration yet", Some(NOT_READY_RETRY_AFTER_MS))
         }
     }
 
@@ -86,7 +86,7 @@
     ) -> Result<CallOptions, Box<Response>> {
         let invoker = &self.invoker;
         let class = position(&invoker.names.classes, &function.class).ok_or_else(|| {
-            problem(404, "unknown-class", "the function's class is not configured on this node", Some(false))
+            problem(404, "unknown-class", "the function's class is unknown here", Some(false))
         })?;
         let expires = invoker.earliest_arrival() + deadline_span(head, self.catalog.give_up(class))?;
         let (key, window) = match invoker.settings.classes[class].effect {
@@ -117,14 +117,14 @@
             }
             Repeat::Done(_, answer) => Ok(Some(answer_response(&answer))),
             Repeat::Open(_) => {
-                let detail = "the first call with this key is still in progress";
+                let detail = "the first call with this key is still open";
                 Err(problem(409, "open", detail, Some(true)).into())
             }
             Repeat::Crowded(retry_after) => {
                 Err(refused("there is no room for another idempotency key", retry_after).into())
             }
             Repeat::Mismatch => {
-                let detail = "the key was used with a different body before";
+                let detail = "the key came with another body before";
                 Err(problem(422, "key-reused", detail, Some(false)).into())
             }
         }
@@ -271,7 +271,7 @@
     let Some(text) = head.headers.get(&DEADLINE_HEADER.to_ascii_lowercase()) else { return Ok(max_ms) };
     match text.parse::<u32>() {
         Ok(span) if span > 0 => Ok(f64::from(span).min(max_ms)),
-        _ => Err(malformed("the deadline is not a positive whole number of milliseconds")),
+        _ => Err(malformed("the deadline is no whole number of milliseconds above 0")),
     }
 }
 
@@ -280,9 +280,7 @@
     let key = head.headers.get("idempotency-key").unwrap_or_default();
     let plain = key.bytes().all(|byte| byte.is_ascii_graphic() && byte != b',' && byte != b'=');
     if key.is_empty() || key.len() > MAX_KEY_BYTES || !plain {
-        return Err(malformed(
-            "an Idempotency-Key of 1 to 128 printable ASCII characters without ',' or '=' is required",
-        ));
+        return Err(malformed("calls of this class carry an Idempotency-Key of 1 to 128 plain characters"));
     }
     Ok(key.to_string())
 }
@@ -292,6 +290,6 @@
     match refusal {
         AdmissionError::Draining => refused("this node is about to end", Some(ENDING_RETRY_AFTER_MS)),
         AdmissionError::Overloaded(span) => refused("there is no room for another call", Some(*span)),
-        AdmissionError::DuplicateId => refused("a call with this id is already in progress", None),
+        AdmissionError::DuplicateId => refused("the id is taken", None),
     }
 }
--- a/crates/node/src/wire/invoke/responses.rs
+++ b/crates/node/src/wire/invoke/responses.rs
@@ -65,11 +65,11 @@
     match answer {
         Answer::Served { body } => Response::new(200, "application/octet-stream", body.clone()),
         Answer::Refused { known: Failure { may_have_run, late: true }, .. } => {
-            problem(504, "deadline", "the deadline passed; a retry is harmless", Some(*may_have_run))
+            problem(504, "deadline", "the deadline passed; another try is harmless", Some(*may_have_run))
         }
         Answer::Refused { retry_after, known } => {
             let seconds = (retry_after / 1000.0).ceil().max(1.0) as u64;
-            let detail = "not accepted; a retry is harmless";
+            let detail = "not taken; another try is harmless";
             problem(503, "refused", detail, Some(known.may_have_run)).with("Retry-After", seconds)
         }
         Answer::Failed(Failure { may_have_run, late: true }) => {
--- a/crates/node/src/wire/invoke/routes.rs
+++ b/crates/node/src/wire/invoke/routes.rs
@@ -74,9 +74,9 @@
         })),
         (_, ["v1", "invocations", _] | ["v1", "functions" | "workers" | "status"] | ["metrics"])
         | (_, ["v1", "functions" | "workers", _] | ["v1", "functions", _, "invocations"]) => {
-            problem(405, "method", "the method is not allowed on this path", Some(false))
+            problem(405, "method", "the method does not apply here", Some(false))
         }
-        _ => problem(404, "unknown-path", "no such path", Some(false)),
+        _ => problem(404, "unknown-path", "nothing stands here", Some(false)),
     })
 }
 
@@ -118,17 +118,11 @@
 /// Checks that a function's class and tenant are configured on this node.
 fn check_function(api: &InvokeApi, function: &Function) -> Result<(), CatalogError> {
     if position(&api.invoker.names.classes, &function.class).is_none() {
-        return Err(CatalogError::Value(format!(
-            "class: {:?} is not configured on this node",
-            function.class
-        )));
+        return Err(CatalogError::Value(format!("class: {:?} is unknown", function.class)));
     }
     let tenants = &api.invoker.names.tenants;
     if !tenants.is_empty() && position(tenants, &function.tenant).is_none() {
-        return Err(CatalogError::Value(format!(
-            "tenant: {:?} is not configured on this node",
-            function.tenant
-        )));
+        return Err(CatalogError::Value(format!("tenant: {:?} is unknown", function.tenant)));
     }
     Ok(())
 }
--- a/crates/node/src/wire/metrics.rs
+++ b/crates/node/src/wire/metrics.rs
@@ -46,14 +46,14 @@
     for (name, count) in invoker.counters.named() {
         let counter: Counter = Counter::default();
         counter.inc_by(count);
-        registry.register(name, "Count since the start of the process", counter);
+        registry.register(name, "Counted since the start", counter);
     }
     let counters = &invoker.counters;
     let (bytes, seconds) = (|| Unit::Bytes, || Unit::Seconds);
-    registry.register_with_unit("body", "Body sizes of accepted calls", bytes(), counters.body_bytes.clone());
+    registry.register_with_unit("body", "Bodies of calls taken", bytes(), counters.body_bytes.clone());
     registry.register_with_unit(
         "call",
-        "Time from accepting a call to its final answer",
+        "From taking a call to its end",
         seconds(),
         counters.call_seconds.clone(),
     );
@@ -63,9 +63,9 @@
         registry.register_with_unit(name, help, Unit::Bytes, gauge);
     };
     let (ledger, resident) = (invoker.ledger(), resident_bytes());
-    gauge(&mut registry, "resident", "Resident memory of the process", resident);
+    gauge(&mut registry, "resident", "Memory that the process holds", resident);
     let unaccounted = resident.saturating_sub(ledger.held());
-    gauge(&mut registry, "unaccounted", "Resident memory that is not in any account", unaccounted);
+    gauge(&mut registry, "unaccounted", "Resident memory that no account holds", unaccounted);
     let lines = ledger.statuses();
     let mut accounts = |name: &str, help: &str, value: fn(&AccountStatus) -> usize| {
         let family = Family::<Labels, Gauge>::default();
@@ -74,18 +74,14 @@
         }
         registry.register_with_unit(name, help, Unit::Bytes, family);
     };
-    accounts("account_cap", "Limit of the account", |line| line.cap);
-    accounts("account_used", "Memory in use by the account", |line| line.used);
-    accounts("account_peak", "Highest memory use of the account", |line| line.peak);
+    accounts("account_cap", "What an account may hold", |line| line.cap);
+    accounts("account_used", "What it holds", |line| line.used);
+    accounts("account_peak", "The most it ever held", |line| line.peak);
     let refusals = Family::<Labels, Counter>::default();
     for line in &lines {
         refusals.get_or_create(&labels(line)).inc_by(line.refused);
     }
-    registry.register(
-        "account_refusals",
-        "Reservations refused because the account was at its limit",
-        refusals,
-    );
+    registry.register("account_refusals", "Reservations that met its cap", refusals);
     add_role(&mut registry, role);
     let mut text = String::new();
     match encode(&mut text, &registry) {
@@ -98,7 +94,7 @@
 /// Adds the metrics about peers, followers or control nodes, as the role of the node has them.
 fn add_role(registry: &mut Registry, role: &Role) {
     if let Some(mesh) = &role.mesh {
-        add_counter(registry, "replication_sent_bytes", "Bytes of messages sent to peers", mesh.sent_bytes());
+        add_counter(registry, "replication_sent_bytes", "Bytes of messages to peers", mesh.sent_bytes());
     }
     if let Some(report) = role.feed_report() {
         add_feed(registry, &report);
@@ -110,75 +106,35 @@
 
 fn add_feed(registry: &mut Registry, report: &FeedReport) {
     let behind = report.oldest.as_ref().map_or(0, |lag| lag.behind);
-    add_gauge(registry, "feed_revision", "Changes since the start of the feed", report.position.revision);
-    add_gauge(registry, "feed_followers", "Connected followers", report.followers as u64);
-    add_gauge(
-        registry,
-        "feed_most_behind",
-        "Changes that the follower furthest behind has not received",
-        behind,
-    );
-    add_gauge(
-        registry,
-        "feed_laggards",
-        "Followers that have been behind for over 6 seconds",
-        report.laggards as u64,
-    );
-    add_gauge(registry, "feed_copies_running", "Full copies in progress", report.copies_running as u64);
-    add_gauge(
-        registry,
-        "feed_copies_waiting",
-        "Followers that wait for a full copy",
-        report.copies_waiting as u64,
-    );
+    add_gauge(registry, "feed_revision", "Changes since the start", report.position.revision);
+    add_gauge(registry, "feed_followers", "Followers that are connected", report.followers as u64);
+    add_gauge(registry, "feed_most_behind", "Changes that the last of them lacks", behind);
+    add_gauge(registry, "feed_laggards", "Followers behind for over 6 seconds", report.laggards as u64);
+    add_gauge(registry, "feed_copies_running", "Copies under way", report.copies_running as u64);
+    add_gauge(registry, "feed_copies_waiting", "Followers that wait for one", report.copies_waiting as u64);
     add_counter(registry, "feed_sent_bytes", "Bytes sent to followers", report.sent_bytes);
-    add_counter(registry, "feed_received_bytes", "Bytes received from followers", report.received_bytes);
+    add_counter(registry, "feed_received_bytes", "Bytes received from them", report.received_bytes);
     let counters = report.counters;
-    add_counter(registry, "feed_resumes", "Followers that resumed from their position", counters.resumes);
+    add_counter(registry, "feed_resumes", "Followers that went on from their position", counters.resumes);
     add_counter(registry, "feed_comparisons", "Followers whose records were compared", counters.comparisons);
-    add_counter(
-        registry,
-        "feed_difference_bytes",
-        "Bytes of records sent after comparisons",
-        counters.difference_bytes,
-    );
-    add_counter(registry, "feed_busy", "Followers that were refused", counters.busy);
+    add_counter(registry, "feed_difference_bytes", "Bytes of records that led to", counters.difference_bytes);
+    add_counter(registry, "feed_busy", "Followers turned away", counters.busy);
 }
 
 fn add_follower(registry: &mut Registry, report: &FollowerReport) {
     let revision = report.position.map_or(0, |position| position.revision);
     let silent = Gauge::<f64, AtomicU64>::default();
     silent.set(report.silent_ms.map_or(-1.0, |span| span / 1000.0));
-    let help = "Time since the last message from a control node; -1 before the first";
+    let help = "Since the last word of a control node; -1 before the first";
     registry.register_with_unit("follow_silent", help, Unit::Seconds, silent);
-    add_gauge(
-        registry,
-        "follow_ready",
-        "1 if the node has a complete copy of the configuration, else 0",
-        report.is_ready().into(),
-    );
-    add_gauge(registry, "follow_revision", "Revision of the control node that is stored on disk", revision);
+    add_gauge(registry, "follow_ready", "Whether there is a whole copy", report.is_ready().into());
+    add_gauge(registry, "follow_revision", "Revision of the control node that is on disk", revision);
     let counters = report.counters;
-    add_counter(registry, "follow_connections", "Connections made to control nodes", counters.connections);
-    add_counter(
-        registry,
-        "follow_comparisons",
-        "Comparisons of records with control nodes",
-        counters.comparisons,
-    );
-    add_counter(
-        registry,
-        "follow_copied_records",
-        "Records received after comparisons",
-        counters.copied_records,
-    );
+    add_counter(registry, "follow_connections", "Connections to control nodes", counters.connections);
+    add_counter(registry, "follow_comparisons", "Comparisons with them", counters.comparisons);
+    add_counter(registry, "follow_copied_records", "Records these led to", counters.copied_records);
     add_counter(registry, "follow_changed_records", "Records changed", counters.changed_records);
-    add_counter(
-        registry,
-        "follow_failed_writes",
-        "Batches of records that could not be stored",
-        counters.failed_writes,
-    );
+    add_counter(registry, "follow_failed_writes", "Batches not kept", counters.failed_writes);
 }
 
 fn add_gauge(registry: &mut Registry, name: &str, help: &str, value: u64) {
--- a/crates/node/src/wire/operators.rs
+++ b/crates/node/src/wire/operators.rs
@@ -137,7 +137,7 @@
         _ => return Err(problem(404, "no such path")),
     };
     if method != allowed {
-        return Err(problem(405, "the method is not allowed on this path").with("Allow", allowed));
+        return Err(problem(405, "no such method here").with("Allow", allowed));
     }
     Ok(call)
 }
@@ -175,7 +175,7 @@
         Err(CommandError::NoRoom) => (507, "too many hosts are suspended"),
         Err(CommandError::Ending) => (409, "this process is about to end"),
         Err(CommandError::Unwritten) => {
-            (503, "not stored: suspensions and drains apply in this process only, nothing was resumed")
+            (503, "not written: what is held back holds here, nothing was lifted")
         }
     };
     CallReply(status, json!({"host": host, "status": status, "detail": detail}))
